--- a/src/apps/foxtail_gateway.cc
+++ b/src/apps/foxtail_gateway.cc
@@ -64,7 +64,7 @@
   WaitForStopSignal(
       [&events] { events.Write(EventNumber::kSettingsKept, {}); });
   events.Write(EventNumber::kProcessStopping, {});
-  control.Leave();
+  control.BeginShutdown();
   const bool clean = traffic.Stop();
   events.Write(EventNumber::kProcessStopped, {});
   // Fibers of both threads may wait for the store or for timers for longer than
--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -23,43 +23,43 @@
 
 // A watch tells of changes at once and needs no answer in between; probes tell
 // whether it still hears.
-constexpr std::chrono::seconds kWatchWait{25};
+constexpr std::chrono::seconds kWatchTimeout{25};
 
 // Servers register and report one by one.
-constexpr milliseconds kServerGather{250};
-constexpr milliseconds kClusterGather{20};
+constexpr milliseconds kServerBatchDelay{250};
+constexpr milliseconds kClusterBatchDelay{20};
 
 // Pause between looks whether a probe is due, and wait of a probe.
-constexpr milliseconds kProbeCheck{300};
-constexpr milliseconds kProbeWait{1};
+constexpr milliseconds kProbeCheckInterval{300};
+constexpr milliseconds kProbeTimeout{1};
 
 // A watch that failed is repeated after a pause between these.
-constexpr int kShortestPause = 100;  // milliseconds
-constexpr int kLongestPause = 250;   // milliseconds
+constexpr int kMinRetryDelay = 100;  // milliseconds
+constexpr int kMaxRetryDelay = 250;  // milliseconds
 
-constexpr size_t kDatagramLimit = 60 * 1024;  // bytes
+constexpr size_t kMaxDatagramSize = 60 * 1024;  // bytes
 
-udp::endpoint EndpointOf(const std::string& text) {
+udp::endpoint ParseEndpoint(const std::string& text) {
   const Address address = ParseAddress(text);
   return {boost::asio::ip::make_address(address.m_host), address.m_port};
 }
 
-void PauseAfterFailure() {
+void SleepBeforeRetry() {
   thread_local std::minstd_rand random{std::random_device{}()};
-  std::uniform_int_distribution<int> pause(kShortestPause, kLongestPause);
-  boost::this_fiber::sleep_for(milliseconds(pause(random)));
+  std::uniform_int_distribution<int> delay(kMinRetryDelay, kMaxRetryDelay);
+  boost::this_fiber::sleep_for(milliseconds(delay(random)));
 }
 
 }  // namespace
 
 ControlThread::ControlThread(const GatewaySettings& settings,
                              const DirectoryDecoder& decoder,
-                             ControlPorts ports,
+                             ControlClientFactories factories,
                              ControlListener& listener,
                              EventLog& events)
     : m_settings(settings),
       m_directory(decoder),
-      m_ports(std::move(ports)),
+      m_factories(std::move(factories)),
       m_listener(listener),
       m_events(events) {
   m_tables.m_settings = settings.m_ownership;
@@ -68,9 +68,9 @@
   m_watched = {{kOperatorRows, decoder.OperatorTable(),
                 &DirectorySystem::OnOperatorRows},
                {kServerRows, decoder.ServerTable(),
-                &DirectorySystem::OnServerRows, kServerGather},
+                &DirectorySystem::OnServerRows, kServerBatchDelay},
                {kClusterRows, kClusterTable, &DirectorySystem::OnClusterRows,
-                kClusterGather}};
+                kClusterBatchDelay}};
 }
 
 ControlThread::~ControlThread() = default;
@@ -79,7 +79,7 @@
   m_thread = std::thread([this] { Run(); });
 }
 
-void ControlThread::Leave() {
+void ControlThread::BeginShutdown() {
   m_mailbox.Post([this] {
     m_tables.m_stopping = true;
     m_tables.m_lead.m_next_operation = TimePoint();
@@ -96,12 +96,12 @@
 
 void ControlThread::Run() {
   InstallFiberScheduler();
-  m_store = m_ports.m_make_store();
-  m_orders = m_ports.m_make_orders();
+  m_store = m_factories.m_make_store();
+  m_server_control = m_factories.m_make_server_control();
   OpenSocket();
   m_tables.m_started = Clock::now();
   for (WatchedTable& table : m_watched) {
-    StartFiber([this, &table] { Watch(table); });
+    StartFiber([this, &table] { WatchLoop(table); });
   }
   StartFiber([this] { ProbeLoop(); });
   StartFiber([this] { ReceiveLoop(); });
@@ -113,7 +113,7 @@
 void ControlThread::OpenSocket() {
   m_socket = std::make_unique<udp::socket>(ThreadIo(), udp::v4());
   boost::system::error_code failure;
-  m_socket->bind(EndpointOf(m_settings.m_internal), failure);
+  m_socket->bind(ParseEndpoint(m_settings.m_internal), failure);
   if (failure) {
     m_events.Write(EventNumber::kInternalFailure,
                    {{"error", "cannot receive at " + m_settings.m_internal +
@@ -122,55 +122,56 @@
   }
 }
 
-void ControlThread::Watch(WatchedTable& table) {
+void ControlThread::WatchLoop(WatchedTable& table) {
   while (!m_stopping) {
-    if (table.m_read && !RelaySystem::MustWatch(m_tables, ReadClocks())) {
+    if (table.m_loaded && !RelaySystem::MustWatch(m_tables, ReadClocks())) {
       // Own trouble with the store no longer matters.
       table.m_failing = false;
-      m_watch_wanted.WaitUntil(m_tables.m_relayed_until);
+      m_watch_needed.WaitUntil(m_tables.m_relayed_until);
     } else if (!WatchOnce(table)) {
-      PauseAfterFailure();
+      SleepBeforeRetry();
     }
   }
 }
 
 bool ControlThread::WatchOnce(WatchedTable& table) {
-  const BootTime sent = BootClock::now();
-  const bool complete = !table.m_read;
+  const BootTime sent_at = BootClock::now();
+  const bool complete = !table.m_loaded;
   const uint64_t version = m_tables.m_progress[table.m_kind].m_read_up_to;
   const RowsResult result =
       complete ? m_store->Read(table.m_name, "",
                                m_settings.m_ownership.m_store_timeout)
-               : m_store->Watch(table.m_name, version, kWatchWait);
-  const bool taken = TakeResult(table, result, complete, sent);
-  if (taken && !result.m_rows.empty()) {
-    boost::this_fiber::sleep_for(table.m_gather);
+               : m_store->Watch(table.m_name, version, kWatchTimeout);
+  const bool applied = ApplyResult(table, result, complete, sent_at);
+  if (applied && !result.m_rows.empty()) {
+    boost::this_fiber::sleep_for(table.m_batch_delay);
   }
-  return taken;
+  return applied;
 }
 
-bool ControlThread::TakeResult(WatchedTable& table,
-                               const RowsResult& result,
-                               bool complete,
-                               BootTime sent) {
+bool ControlThread::ApplyResult(WatchedTable& table,
+                                const RowsResult& result,
+                                bool complete,
+                                BootTime sent_at) {
   if (result.m_outcome == StoreOutcome::kHistoryLost) {
-    table.m_read = false;
+    table.m_loaded = false;
     return true;
   }
-  const bool answered = result.m_outcome == StoreOutcome::kDone;
-  NoteContact(table, answered, result.m_outcome);
+  const bool succeeded = result.m_outcome == StoreOutcome::kDone;
+  UpdateReachability(table, succeeded, result.m_outcome);
   WatchProgress& progress = m_tables.m_progress[table.m_kind];
-  if (!answered) {
+  if (!succeeded) {
     return false;
   }
   // An answer from before an earlier one would take changes back.
   if (result.m_version < progress.m_read_up_to) {
     return !complete;
   }
-  table.m_read = true;
-  progress.m_read_at = std::max(progress.m_read_at, sent);
+  table.m_loaded = true;
+  progress.m_read_at = std::max(progress.m_read_at, sent_at);
   if (table.m_kind == kOperatorRows) {
-    m_tables.m_operators_read_at = std::max(m_tables.m_operators_read_at, sent);
+    m_tables.m_operators_read_at =
+        std::max(m_tables.m_operators_read_at, sent_at);
   }
   if (complete) {
     m_events.Write(EventNumber::kDirectoryRead,
@@ -181,13 +182,13 @@
     RelaySystem::OnRead(m_tables, table.m_kind, progress.m_newest_change,
                         result, ReadClocks());
   }
-  TakeRows(table, result, complete);
+  ApplyRows(table, result, complete);
   return true;
 }
 
-void ControlThread::TakeRows(WatchedTable& table,
-                             const RowsResult& result,
-                             bool complete) {
+void ControlThread::ApplyRows(WatchedTable& table,
+                              const RowsResult& result,
+                              bool complete) {
   m_tables.m_progress[table.m_kind].NoteRows(result, complete);
   if (complete || !result.m_rows.empty()) {
     (m_directory.*table.m_apply)(m_tables, result.m_rows, complete,
@@ -197,12 +198,12 @@
   Flush();
 }
 
-void ControlThread::TakeNews(RowsNews news) {
-  const uint32_t kind = news.m_kind;
+void ControlThread::ApplyRelayedRows(RowsNews relayed) {
+  const uint32_t kind = relayed.m_kind;
   const auto rows =
-      RelaySystem::OnNews(m_tables, std::move(news), ReadClocks());
-  if (rows && m_watched[kind].m_read) {
-    TakeRows(m_watched[kind], *rows, false);
+      RelaySystem::OnNews(m_tables, std::move(relayed), ReadClocks());
+  if (rows && m_watched[kind].m_loaded) {
+    ApplyRows(m_watched[kind], *rows, false);
   }
 }
 
@@ -211,31 +212,31 @@
 void ControlThread::ProbeLoop() {
   while (!m_stopping) {
     for (WatchedTable& table : m_watched) {
-      if (!table.m_read ||
+      if (!table.m_loaded ||
           !RelaySystem::IsProbeDue(m_tables, table.m_kind, ReadClocks())) {
         continue;
       }
-      const BootTime sent = BootClock::now();
+      const BootTime sent_at = BootClock::now();
       const uint64_t version = m_tables.m_progress[table.m_kind].m_read_up_to;
-      TakeResult(table, m_store->Watch(table.m_name, version, kProbeWait),
-                 false, sent);
+      ApplyResult(table, m_store->Watch(table.m_name, version, kProbeTimeout),
+                  false, sent_at);
     }
-    boost::this_fiber::sleep_for(kProbeCheck);
+    boost::this_fiber::sleep_for(kProbeCheckInterval);
   }
 }
 
-void ControlThread::NoteContact(WatchedTable& table,
-                                bool answered,
-                                StoreOutcome outcome) {
-  if (answered && table.m_failing) {
+void ControlThread::UpdateReachability(WatchedTable& table,
+                                       bool succeeded,
+                                       StoreOutcome outcome) {
+  if (succeeded && table.m_failing) {
     m_tables.m_servers_contact_since = Clock::now();
     m_events.Write(EventNumber::kPlatformReachable, {{"table", table.m_name}});
   }
-  if (!answered && !table.m_failing) {
+  if (!succeeded && !table.m_failing) {
     m_events.Write(EventNumber::kPlatformUnreachable,
                    {{"error", NameOf(outcome)}, {"table", table.m_name}});
   }
-  table.m_failing = !answered;
+  table.m_failing = !succeeded;
 }
 
 void ControlThread::TickLoop() {
@@ -249,7 +250,7 @@
   RunGatewayTick(m_tables, ReadClocks());
   Flush();
   if (m_tables.IsLeading(ReadClocks())) {
-    m_watch_wanted.Notify();
+    m_watch_needed.Notify();
   }
 }
 
@@ -259,10 +260,10 @@
     m_events.Write(event.m_number, event.m_fields);
   }
   for (ControlCommand& command : std::exchange(m_tables.m_outbox, {})) {
-    Carry(std::move(command));
+    StartCommand(std::move(command));
   }
-  for (LeaderWord& word : std::exchange(m_tables.m_leader_words, {})) {
-    m_listener.OnLeaderWord(std::move(word));
+  for (LeaderWord& tokens : std::exchange(m_tables.m_leader_words, {})) {
+    m_listener.OnLeaderWord(std::move(tokens));
   }
   if (std::exchange(m_tables.m_snapshot_due, false)) {
     m_listener.OnSnapshot(BuildSnapshot(m_tables));
@@ -280,7 +281,7 @@
 }
 
 void ControlThread::ReceiveLoop() {
-  std::string buffer(kDatagramLimit, '\0');
+  std::string buffer(kMaxDatagramSize, '\0');
   while (!m_stopping) {
     udp::endpoint sender;
     FiberWait wait;
@@ -288,7 +289,7 @@
                                  wait.Handler());
     if (wait.Wait()) {
       // A port without a listener at a peer shows here; nothing is lost by it.
-      PauseAfterFailure();
+      SleepBeforeRetry();
       continue;
     }
     OnDatagram(buffer.substr(0, wait.GetBytes()));
@@ -300,20 +301,20 @@
   try {
     ClusterMessage message = DecodeClusterMessage(bytes);
     if (const auto* report = std::get_if<MemberReport>(&message)) {
-      if (auto digest = MemberSystem::OnReport(m_tables, *report, now)) {
-        CarryOut(SendCommand{{report->m_address}, std::move(*digest)});
+      if (auto response = MemberSystem::OnReport(m_tables, *report, now)) {
+        Execute(SendCommand{{report->m_address}, std::move(*response)});
       }
       return;
     }
-    if (auto* news = std::get_if<RowsNews>(&message)) {
-      TakeNews(std::move(*news));
+    if (auto* relayed = std::get_if<RowsNews>(&message)) {
+      ApplyRelayedRows(std::move(*relayed));
       return;
     }
-    const auto& digest = std::get<LeaderDigest>(message);
-    LeadershipSystem::OnDigest(m_tables, digest, now);
-    MemberSystem::OnDigest(m_tables, digest, now);
+    const auto& response = std::get<LeaderDigest>(message);
+    LeadershipSystem::OnDigest(m_tables, response, now);
+    MemberSystem::OnDigest(m_tables, response, now);
     Flush();
-    if (digest.m_leaving) {
+    if (response.m_leaving) {
       Wake();
     }
   } catch (const Error& failure) {
@@ -321,30 +322,30 @@
   }
 }
 
-void ControlThread::Carry(ControlCommand command) {
+void ControlThread::StartCommand(ControlCommand command) {
   StartFiber([this, command = std::move(command)] {
-    std::visit([this](const auto& kind) { CarryOut(kind); }, command);
+    std::visit([this](const auto& typed) { Execute(typed); }, command);
     Wake();
   });
 }
 
-void ControlThread::CarryOut(const GrantCommand& command) {
-  const OrderOutcome outcome = m_orders->Grant(
+void ControlThread::Execute(const GrantCommand& command) {
+  const OrderOutcome outcome = m_server_control->Grant(
       command.m_address, command.m_keys, command.m_fence, command.m_hold,
       command.m_handover, m_settings.m_ownership.m_order_timeout);
   GrantOrderSystem::OnGranted(m_tables, command, outcome, ReadClocks());
 }
 
-void ControlThread::CarryOut(const ReleaseCommand& command) {
+void ControlThread::Execute(const ReleaseCommand& command) {
   std::string handover;
   const OrderOutcome outcome =
-      m_orders->Release(command.m_address, command.m_keys, command.m_fence,
-                        command.m_timeout, handover);
+      m_server_control->Release(command.m_address, command.m_keys,
+                                command.m_fence, command.m_timeout, handover);
   GrantOrderSystem::OnReleased(m_tables, command, outcome, handover,
                                ReadClocks());
 }
 
-void ControlThread::CarryOut(const ReadRowCommand& command) {
+void ControlThread::Execute(const ReadRowCommand& command) {
   const RowsResult result = m_store->Read(
       command.m_table, command.m_key, m_settings.m_ownership.m_store_timeout);
   const Now now = ReadClocks();
@@ -357,7 +358,7 @@
   }
 }
 
-void ControlThread::CarryOut(const WriteRowCommand& command) {
+void ControlThread::Execute(const WriteRowCommand& command) {
   const RowWrite& write = command.m_write;
   const WriteResult result =
       m_store->Write(write, m_settings.m_ownership.m_store_timeout);
@@ -373,11 +374,11 @@
   }
 }
 
-void ControlThread::CarryOut(const SendCommand& command) {
+void ControlThread::Execute(const SendCommand& command) {
   const std::string bytes = EncodeMessage(command.m_message);
   for (const std::string& address : command.m_addresses) {
     boost::system::error_code failure;
-    m_socket->send_to(boost::asio::buffer(bytes), EndpointOf(address), 0,
+    m_socket->send_to(boost::asio::buffer(bytes), ParseEndpoint(address), 0,
                       failure);
     // A datagram that was not sent is like one that was lost: the next follows.
   }
--- a/src/gateway/control_thread.h
+++ b/src/gateway/control_thread.h
@@ -18,9 +18,9 @@
 namespace foxtail {
 
 /// Makes the clients that need the control thread's fibers.
-struct ControlPorts {
+struct ControlClientFactories {
   std::function<std::unique_ptr<TableStore>()> m_make_store;
-  std::function<std::unique_ptr<ServerControl>()> m_make_orders;
+  std::function<std::unique_ptr<ServerControl>()> m_make_server_control;
 };
 
 /// What the control thread tells others.
@@ -36,7 +36,7 @@
   virtual void OnFreshness(BootTime operators_read_at) = 0;
 
   /// The leader answered a report. Called on the control thread.
-  virtual void OnLeaderWord(LeaderWord word) = 0;
+  virtual void OnLeaderWord(LeaderWord tokens) = 0;
 };
 
 /// The thread that owns the control tables: watches the store, runs the tick
@@ -45,7 +45,7 @@
  public:
   ControlThread(const GatewaySettings& settings,
                 const DirectoryDecoder& decoder,
-                ControlPorts ports,
+                ControlClientFactories factories,
                 ControlListener& listener,
                 EventLog& events);
   ~ControlThread();
@@ -57,69 +57,71 @@
   void Start();
 
   /// Begins a planned stop: a leader gives its lease back.
-  void Leave();
+  void BeginShutdown();
 
   /// Takes over demand and load of a traffic thread. Any thread.
   void Report(MemberReport report);
 
  private:
-  using Apply = void (DirectorySystem::*)(GatewayTables&,
-                                          const std::vector<StoredRow>&,
-                                          bool,
-                                          const Now&) const;
+  using ApplyFunction = void (DirectorySystem::*)(GatewayTables&,
+                                                  const std::vector<StoredRow>&,
+                                                  bool,
+                                                  const Now&) const;
 
   /// A table that is watched.
   struct WatchedTable {
     WatchedKind m_kind = kOperatorRows;
     std::string m_name;
-    Apply m_apply = nullptr;
+    ApplyFunction m_apply = nullptr;
 
     /// Pause after changes, in which more of them gather.
-    Duration m_gather{};
-    bool m_read = false;
+    Duration m_batch_delay{};
+    bool m_loaded = false;
     bool m_failing = false;
   };
 
   void Run();
   void OpenSocket();
-  void Watch(WatchedTable& table);
+  void WatchLoop(WatchedTable& table);
   bool WatchOnce(WatchedTable& table);
-  bool TakeResult(WatchedTable& table,
-                  const RowsResult& result,
-                  bool complete,
-                  BootTime sent);
-  void TakeRows(WatchedTable& table, const RowsResult& result, bool complete);
-  void TakeNews(RowsNews news);
+  bool ApplyResult(WatchedTable& table,
+                   const RowsResult& result,
+                   bool complete,
+                   BootTime sent_at);
+  void ApplyRows(WatchedTable& table, const RowsResult& result, bool complete);
+  void ApplyRelayedRows(RowsNews relayed);
   void ProbeLoop();
-  void NoteContact(WatchedTable& table, bool answered, StoreOutcome outcome);
+  void UpdateReachability(WatchedTable& table,
+                          bool succeeded,
+                          StoreOutcome outcome);
   void TickLoop();
   void Tick();
   void Flush();
   void ReceiveLoop();
   void OnDatagram(const std::string& bytes);
-  void Carry(ControlCommand command);
-  void CarryOut(const GrantCommand& command);
-  void CarryOut(const ReleaseCommand& command);
-  void CarryOut(const ReadRowCommand& command);
-  void CarryOut(const WriteRowCommand& command);
-  void CarryOut(const SendCommand& command);
+  void StartCommand(ControlCommand command);
+  void Execute(const GrantCommand& command);
+  void Execute(const ReleaseCommand& command);
+  void Execute(const ReadRowCommand& command);
+  void Execute(const WriteRowCommand& command);
+  void Execute(const SendCommand& command);
   void Wake();
 
   GatewaySettings m_settings;
   DirectorySystem m_directory;
   std::vector<WatchedTable> m_watched;
-  ControlPorts m_ports;
+  ControlClientFactories m_factories;
   ControlListener& m_listener;
   EventLog& m_events;
   GatewayTables m_tables;
   std::unique_ptr<TableStore> m_store;
-  std::unique_ptr<ServerControl> m_orders;
+  std::unique_ptr<ServerControl> m_server_control;
   std::unique_ptr<boost::asio::ip::udp::socket> m_socket;
   Mailbox m_mailbox;
   FiberEvent m_wake;
 
   /// This daemon must watch the store itself from now on.
-  FiberEvent m_watch_wanted;
+  FiberEvent m_watch_needed;
   BootTime m_published_read_at;
   bool m_stopping = false;
   std::thread m_thread;
--- a/src/gateway/load_targets.h
+++ b/src/gateway/load_targets.h
@@ -12,7 +12,7 @@
   uint32_t m_slots = 1;
 
   /// Time of a request that finds a free slot, seconds.
-  double m_seconds = 1;
+  double m_service_seconds = 1;
 
   /// Share of the service's requests that it should get; 1 over all servers.
   double m_target = 0;
--- a/src/gateway/range_placement_system.cc
+++ b/src/gateway/range_placement_system.cc
@@ -12,31 +12,32 @@
 namespace {
 
 // Below this rate the counts say nothing about which keys are busy.
-constexpr double kSignificantRate = 20;  // requests a second
+constexpr double kMinSignificantRate = 20;  // requests a second
 
 // Counts are smoothed over this time. A busy key shows after about half of it.
-constexpr std::chrono::milliseconds kSmoothing{1500};
+constexpr std::chrono::milliseconds kSmoothingTimeConstant{1500};
 
 // Pause between two steps of the smoothing: that between reports.
-constexpr std::chrono::milliseconds kSmoothingStep{400};
+constexpr std::chrono::milliseconds kSmoothingInterval{400};
 
 // Bounds of a server's measured time relative to the usual of its service.
-constexpr double kFastest = 0.4;
-constexpr double kSlowest = 2.5;
+constexpr double kMinServiceTimeFactor = 0.4;
+constexpr double kMaxServiceTimeFactor = 2.5;
 
 // Time of a request at a server while none is measured, seconds.
-constexpr double kUnknownSeconds = 0.1;
+constexpr double kDefaultServiceSeconds = 0.1;
 
 void SmoothLoads(ServiceRow& service, const Now& now) {
-  const Duration passed = now.m_steady - service.m_smoothed;
-  if (passed < kSmoothingStep) {
+  const Duration elapsed = now.m_steady - service.m_smoothed;
+  if (elapsed < kSmoothingInterval) {
     return;
   }
   const bool first = service.m_smoothed == TimePoint();
-  const double gain = 1 - std::exp(-ToSeconds(passed) / ToSeconds(kSmoothing));
+  const double gain =
+      1 - std::exp(-ToSeconds(elapsed) / ToSeconds(kSmoothingTimeConstant));
   service.m_smoothed = now.m_steady;
   for (uint32_t i = 0; i < kSlices; ++i) {
-    const double rate = first ? 0 : service.m_counts[i] / ToSeconds(passed);
+    const double rate = first ? 0 : service.m_counts[i] / ToSeconds(elapsed);
     service.m_loads[i] +=
         static_cast<float>(gain * (rate - service.m_loads[i]));
     service.m_counts[i] = 0;
@@ -44,29 +45,29 @@
 }
 
 // Returns the means over the servers of a service that are known.
-SpeedEstimate UsualSpeed(const GatewayTables& tables,
-                         const std::string& service) {
-  SpeedEstimate usual;
+SpeedEstimate MeanSpeed(const GatewayTables& tables,
+                        const std::string& service) {
+  SpeedEstimate mean;
   tables.m_servers.ForEach([&](ServerId, const ServerRow& server) {
-    if (server.m_entry.m_service == service && server.m_speed.m_answers > 0) {
-      usual.m_seconds += server.m_speed.m_seconds;
-      usual.m_slowdown += server.m_speed.m_slowdown;
-      ++usual.m_answers;
+    if (server.m_entry.m_service == service && server.m_speed.m_responses > 0) {
+      mean.m_service_seconds += server.m_speed.m_service_seconds;
+      mean.m_slowdown += server.m_speed.m_slowdown;
+      ++mean.m_responses;
     }
   });
-  if (usual.m_answers == 0) {
-    return {kUnknownSeconds, 0, 0};
+  if (mean.m_responses == 0) {
+    return {kDefaultServiceSeconds, 0, 0};
   }
-  usual.m_seconds /= usual.m_answers;
-  usual.m_slowdown /= usual.m_answers;
-  return usual;
+  mean.m_service_seconds /= mean.m_responses;
+  mean.m_slowdown /= mean.m_responses;
+  return mean;
 }
 
 // Returns the servers that may own keys, without their targets.
-std::vector<PlannedServer> ServersOf(const GatewayTables& tables,
-                                     const std::string& service,
-                                     const Now& now) {
-  const SpeedEstimate usual = UsualSpeed(tables, service);
+std::vector<PlannedServer> FindCandidates(const GatewayTables& tables,
+                                          const std::string& service,
+                                          const Now& now) {
+  const SpeedEstimate mean = MeanSpeed(tables, service);
   std::vector<PlannedServer> servers;
   std::vector<PlannedServer> cold;
   for (const auto& [id, server_id] : tables.m_servers_by_id) {
@@ -76,57 +77,58 @@
       continue;
     }
     const double seconds =
-        std::clamp(server.m_speed.ExpectedSeconds(usual),
-                   usual.m_seconds * kFastest, usual.m_seconds * kSlowest);
+        std::clamp(server.m_speed.ExpectedServiceSeconds(mean),
+                   mean.m_service_seconds * kMinServiceTimeFactor,
+                   mean.m_service_seconds * kMaxServiceTimeFactor);
     (now.m_steady < server.m_cold_until ? cold : servers)
         .push_back({id, server.m_entry.m_slots, seconds, 0});
   }
   return servers.empty() ? cold : servers;
 }
 
-double DemandOf(const ServiceRow& service) {
+double TotalDemand(const ServiceRow& service) {
   return std::accumulate(service.m_loads.begin(), service.m_loads.end(), 0.0);
 }
 
-SliceWeights WeightsOf(const ServiceRow& service, double demand) {
-  if (demand < kSignificantRate) {
+SliceWeights BuildWeights(const ServiceRow& service, double demand) {
+  if (demand < kMinSignificantRate) {
     return {};
   }
   // Exponential smoothing counts for twice its time constant.
-  return {service.m_loads, demand * 2 * ToSeconds(kSmoothing)};
+  return {service.m_loads, demand * 2 * ToSeconds(kSmoothingTimeConstant)};
 }
 
 struct ServiceRanges {
   std::vector<RangeId> m_ids;
   std::vector<PlannedRange> m_planned;
-  bool m_moving = false;
-  bool m_orphaned = false;
+  bool m_has_move = false;
+  bool m_has_orphan = false;
 };
 
-ServiceRanges RangesOf(const GatewayTables& tables,
-                       ServiceId service,
-                       const Now& now) {
-  ServiceRanges found;
+ServiceRanges CollectRanges(const GatewayTables& tables,
+                            ServiceId service,
+                            const Now& now) {
+  ServiceRanges collected;
   tables.m_ranges.ForEach([&](RangeId id, const RangeRow& row) {
     if (row.m_service == service) {
-      found.m_ids.push_back(id);
+      collected.m_ids.push_back(id);
     }
   });
   // Plans are in order of keys, and are compared with these.
-  std::ranges::sort(found.m_ids, {}, [&tables](RangeId id) {
+  std::ranges::sort(collected.m_ids, {}, [&tables](RangeId id) {
     return tables.m_ranges.Get(id).m_range;
   });
-  for (const RangeId id : found.m_ids) {
+  for (const RangeId id : collected.m_ids) {
     const RangeRow& row = tables.m_ranges.Get(id);
     // A range on its way to a server that is lost as well starts again.
     const bool kept = row.m_phase != RangePhase::kUnowned &&
                       MayKeepKeys(tables, row.m_owner, now);
-    found.m_moving =
-        found.m_moving || (kept && row.m_phase != RangePhase::kSettled);
-    found.m_orphaned = found.m_orphaned || !kept;
-    found.m_planned.push_back({row.m_range, kept ? row.m_owner : ""});
+    collected.m_has_move =
+        collected.m_has_move || (kept && row.m_phase != RangePhase::kSettled);
+    collected.m_has_orphan = collected.m_has_orphan || !kept;
+    collected.m_planned.push_back({row.m_range, kept ? row.m_owner : ""});
   }
-  return found;
+  return collected;
 }
 
 bool HasServerWithoutKeys(const ServiceRanges& ranges,
@@ -140,11 +142,11 @@
   });
 }
 
-RangeRow Piece(const GatewayTables& tables,
-               const RangeRow& whole,
-               const PlannedRange& planned,
-               uint64_t record_number,
-               const Now& now) {
+RangeRow BuildPieceRow(const GatewayTables& tables,
+                       const RangeRow& whole,
+                       const PlannedRange& planned,
+                       uint64_t record_number,
+                       const Now& now) {
   RangeRow row = whole;
   row.m_range = planned.m_range;
   row.m_busy = false;
@@ -191,7 +193,7 @@
     tables.m_ranges.Erase(ranges.m_ids[i]);
     for (const PlannedRange& piece : pieces) {
       RangeRow row =
-          Piece(tables, whole, piece, service.m_record_number + 1, now);
+          BuildPieceRow(tables, whole, piece, service.m_record_number + 1, now);
       if (row.m_owner != whole.m_owner) {
         row.m_fence = ++tables.m_lead.m_last_fence;
         tables.m_events.push_back({EventNumber::kPartitionMoveStarted,
@@ -208,7 +210,7 @@
 }
 
 // Before any owner is known all keys form one range without an owner.
-void AddFirstRange(GatewayTables& tables, ServiceId service, const Now& now) {
+void AddInitialRange(GatewayTables& tables, ServiceId service, const Now& now) {
   RangeRow row;
   row.m_service = service;
   row.m_range = {0, kShardKeys - 1};
@@ -223,42 +225,43 @@
 void PlaceService(GatewayTables& tables, ServiceId id, const Now& now) {
   static const ResponseTimeTargets targets;
   static const FillPlanner fill;
-  static const RelievePlanner relieve;
+  static const RebalancePlanner rebalance;
   ServiceRow& service = tables.m_services.Get(id);
   SmoothLoads(service, now);
   if (service.m_busy) {
     return;  // the record's number is taken
   }
-  ServiceRanges ranges = RangesOf(tables, id, now);
-  std::vector<PlannedServer> servers = ServersOf(tables, service.m_name, now);
+  ServiceRanges ranges = CollectRanges(tables, id, now);
+  std::vector<PlannedServer> servers =
+      FindCandidates(tables, service.m_name, now);
   if (servers.empty()) {
     return;
   }
   if (ranges.m_ids.empty()) {
-    AddFirstRange(tables, id, now);
-    ranges = RangesOf(tables, id, now);
+    AddInitialRange(tables, id, now);
+    ranges = CollectRanges(tables, id, now);
   }
-  if (ranges.m_moving && !ranges.m_orphaned) {
+  if (ranges.m_has_move && !ranges.m_has_orphan) {
     return;
   }
-  const bool relief_due = now.m_steady >= service.m_next_rebalance;
-  if (!relief_due && !ranges.m_orphaned &&
+  const bool rebalance_due = now.m_steady >= service.m_next_rebalance;
+  if (!rebalance_due && !ranges.m_has_orphan &&
       !HasServerWithoutKeys(ranges, servers)) {
     tables.WakeAt(service.m_next_rebalance);
     return;
   }
-  const double demand = DemandOf(service);
+  const double demand = TotalDemand(service);
   targets.SetTargets(servers, demand);
-  const SliceWeights weights = WeightsOf(service, demand);
+  const SliceWeights weights = BuildWeights(service, demand);
   std::vector<PlannedRange> plan =
       fill.Plan(ranges.m_planned, servers, weights);
   if (plan == ranges.m_planned) {
-    if (!relief_due) {
+    if (!rebalance_due) {
       tables.WakeAt(service.m_next_rebalance);
       return;
     }
     service.m_next_rebalance = now.m_steady + tables.m_settings.m_rebalance;
-    plan = relieve.Plan(ranges.m_planned, servers, weights);
+    plan = rebalance.Plan(ranges.m_planned, servers, weights);
   }
   if (plan != ranges.m_planned) {
     ApplyPlan(tables, id, ranges, plan, now);
@@ -280,13 +283,13 @@
 }
 
 void RangePlacementSystem::Run(GatewayTables& tables, const Now& now) {
-  const TimePoint gathered =
+  const TimePoint grace_ends_at =
       tables.m_servers_contact_since + tables.m_settings.m_gather;
   if (!tables.m_servers_read || !tables.IsLeading(now)) {
     return;
   }
-  if (now.m_steady < gathered) {
-    tables.WakeAt(gathered);
+  if (now.m_steady < grace_ends_at) {
+    tables.WakeAt(grace_ends_at);
     return;
   }
   tables.m_services.ForEach([&](ServiceId id, const ServiceRow& service) {
--- a/src/gateway/range_planner.cc
+++ b/src/gateway/range_planner.cc
@@ -8,68 +8,68 @@
 
 // Pieces smaller than this part of an even share are not split off, so that
 // the number of ranges stays small.
-constexpr double kSmallestPiece = 0.15;
+constexpr double kMinPieceFraction = 0.15;
 
 // An empty server takes pieces of at least this part of an even share: smaller
 // ones from more servers would multiply the grants to be renewed.
-constexpr double kFillPiece = 0.4;
+constexpr double kMinFillPieceFraction = 0.4;
 
 // An empty server is filled up to this part of its target; more would only move
 // keys that the next change moves back.
-constexpr double kFillTarget = 0.85;
+constexpr double kFillTargetFraction = 0.85;
 
 // A server is relieved when its load is over its target by this factor.
-constexpr double kOverload = 1.3;
+constexpr double kOverloadFactor = 1.3;
 
 // A busy slice may fill its new server beyond the target if its old one's level
 // was above the new one's by this factor.
-constexpr double kHotGain = 1.3;
+constexpr double kHotSliceMinGain = 1.3;
 
 // Moves in one plan. Each holds up requests for its keys for a moment; all of
 // one plan are recorded together.
-constexpr uint32_t kMovesPerPlan = 8;
+constexpr uint32_t kMaxMovesPerPlan = 8;
 
-struct Bin {
+struct ServerLoad {
   double m_target = 0;
   double m_load = 0;
-  uint32_t m_ranges = 0;
+  uint32_t m_range_count = 0;
 
   /// Load relative to the target.
-  double Level() const { return m_load / m_target; }
-  double Room() const { return m_target - m_load; }
+  double Utilization() const { return m_load / m_target; }
+  double Headroom() const { return m_target - m_load; }
 };
 
-using Bins = std::map<std::string, Bin>;
+using ServerLoads = std::map<std::string, ServerLoad>;
 
-Bins BinsOf(const std::vector<PlannedRange>& ranges,
-            const std::vector<PlannedServer>& servers,
-            const SliceWeights& weights) {
-  Bins bins;
+ServerLoads SumLoads(const std::vector<PlannedRange>& ranges,
+                     const std::vector<PlannedServer>& servers,
+                     const SliceWeights& weights) {
+  ServerLoads loads;
   for (const PlannedServer& server : servers) {
-    bins[server.m_id].m_target = server.m_target;
+    loads[server.m_id].m_target = server.m_target;
   }
   for (const PlannedRange& range : ranges) {
-    const auto bin = bins.find(range.m_owner);
-    if (bin != bins.end()) {
-      bin->second.m_load += weights.Of(range.m_range);
-      ++bin->second.m_ranges;
+    const auto load = loads.find(range.m_owner);
+    if (load != loads.end()) {
+      load->second.m_load += weights.ShareOf(range.m_range);
+      ++load->second.m_range_count;
     }
   }
-  return bins;
+  return loads;
 }
 
-double SmallestPiece(const Bins& bins) {
-  return kSmallestPiece / static_cast<double>(bins.size());
+double MinPieceShare(const ServerLoads& loads) {
+  return kMinPieceFraction / static_cast<double>(loads.size());
 }
 
-Bins::iterator LowestBin(Bins& bins) {
+ServerLoads::iterator MostHeadroom(ServerLoads& loads) {
   return std::ranges::max_element(
-      bins, {}, [](const auto& entry) { return entry.second.Room(); });
+      loads, {}, [](const auto& entry) { return entry.second.Headroom(); });
 }
 
-Bins::iterator HighestBin(Bins& bins) {
+ServerLoads::iterator LeastHeadroom(ServerLoads& loads) {
   return std::ranges::min_element(
-      bins, {}, [](const auto& entry) { return entry.second.Room(); });
+      loads, {}, [](const auto& entry) { return entry.second.Headroom(); });
 }
 
 uint32_t SliceOf(uint32_t key) {
@@ -83,15 +83,15 @@
 // Returns the last key of the longest beginning of a range, in whole slices,
 // that weighs at most `limit`, but of one slice at least. Slices are not cut:
 // which of a slice's keys is busy is not known.
-uint32_t CutBefore(const KeyRange& range,
-                   double limit,
-                   const SliceWeights& weights) {
+uint32_t FindPrefixEnd(const KeyRange& range,
+                       double limit,
+                       const SliceWeights& weights) {
   uint32_t shortest = SliceOf(range.m_first);
   uint32_t longest = SliceOf(range.m_last);
   while (shortest < longest) {
     const uint32_t middle = (shortest + longest + 1) / 2;
     const uint32_t last = std::min(LastKeyOf(middle), range.m_last);
-    if (weights.Of({range.m_first, last}) <= limit) {
+    if (weights.ShareOf({range.m_first, last}) <= limit) {
       shortest = middle;
     } else {
       longest = middle - 1;
@@ -101,24 +101,24 @@
 }
 
 // Gives a range away in pieces that fit the receivers' room.
-void Scatter(const KeyRange& range,
-             Bins& bins,
-             const SliceWeights& weights,
-             std::vector<PlannedRange>& planned) {
+void AssignInPieces(const KeyRange& range,
+                    ServerLoads& loads,
+                    const SliceWeights& weights,
+                    std::vector<PlannedRange>& plan) {
   KeyRange rest = range;
   while (true) {
-    const auto receiver = LowestBin(bins);
-    Bin& bin = receiver->second;
-    const double room = std::max(bin.Room(), SmallestPiece(bins));
-    uint32_t last = CutBefore(rest, room, weights);
+    const auto receiver = MostHeadroom(loads);
+    ServerLoad& load = receiver->second;
+    const double headroom = std::max(load.Headroom(), MinPieceShare(loads));
+    uint32_t last = FindPrefixEnd(rest, headroom, weights);
     const KeyRange tail{last + 1, rest.m_last};
-    if (last < rest.m_last && weights.Of(tail) < SmallestPiece(bins)) {
+    if (last < rest.m_last && weights.ShareOf(tail) < MinPieceShare(loads)) {
       last = rest.m_last;
     }
     const KeyRange piece{rest.m_first, last};
-    planned.push_back({piece, receiver->first});
-    bin.m_load += weights.Of(piece);
-    ++bin.m_ranges;
+    plan.push_back({piece, receiver->first});
+    load.m_load += weights.ShareOf(piece);
+    ++load.m_range_count;
     if (last == rest.m_last) {
       return;
     }
@@ -127,7 +127,7 @@
 }
 
 // Keys of one range that may be given away.
-struct Piece {
+struct MoveCandidate {
   size_t m_index = 0;
   KeyRange m_keys;
   double m_weight = 0;
@@ -135,69 +135,72 @@
 
 // Returns the end of a range, in whole slices, that weighs at most `limit`, but
 // of one slice at least.
-KeyRange TailOf(const KeyRange& range,
-                double limit,
-                const SliceWeights& weights) {
+KeyRange FindSuffix(const KeyRange& range,
+                    double limit,
+                    const SliceWeights& weights) {
   uint32_t shortest = SliceOf(range.m_last);
   uint32_t longest = SliceOf(range.m_first);
-  const auto from = [&range](uint32_t slice) {
+  const auto suffix_from = [&range](uint32_t slice) {
     return KeyRange{std::max(range.m_first, slice * kKeysPerSlice),
                     range.m_last};
   };
   while (longest < shortest) {
     const uint32_t middle = (longest + shortest) / 2;
-    if (weights.Of(from(middle)) <= limit) {
+    if (weights.ShareOf(suffix_from(middle)) <= limit) {
       shortest = middle;
     } else {
       longest = middle + 1;
     }
   }
-  return from(shortest);
+  return suffix_from(shortest);
 }
 
 // Returns the longest piece that begins with the range's heaviest slice and
 // weighs at most `limit`, but of one slice at least.
-KeyRange HottestOf(const KeyRange& range,
-                   double limit,
-                   const SliceWeights& weights) {
+KeyRange FindHotPart(const KeyRange& range,
+                     double limit,
+                     const SliceWeights& weights) {
   KeyRange hottest;
-  double most = -1;
+  double max_weight = -1;
   for (uint32_t slice = SliceOf(range.m_first); slice <= SliceOf(range.m_last);
        ++slice) {
     const KeyRange keys{std::max(range.m_first, slice * kKeysPerSlice),
                         std::min(range.m_last, LastKeyOf(slice))};
-    const double weight = weights.Of(keys);
-    if (weight > most) {
-      most = weight;
+    const double weight = weights.ShareOf(keys);
+    if (weight > max_weight) {
+      max_weight = weight;
       hottest = keys;
     }
   }
-  const KeyRange rest{hottest.m_first, range.m_last};
-  return {rest.m_first, CutBefore(rest, limit, weights)};
+  const KeyRange suffix{hottest.m_first, range.m_last};
+  return {suffix.m_first, FindPrefixEnd(suffix, limit, weights)};
 }
 
 // Returns the heaviest piece of the donor's ranges that the receiver has room
 // for. A busy slice that is more than there is room for may go if it is clearly
 // better off there. Of no weight if there is none.
-Piece FindPiece(const std::vector<PlannedRange>& ranges,
-                const std::string& donor,
-                const Bin& from,
-                const Bin& to,
-                double limit,
-                const SliceWeights& weights) {
-  Piece best;
+MoveCandidate FindMoveCandidate(const std::vector<PlannedRange>& ranges,
+                                const std::string& donor,
+                                const ServerLoad& donor_load,
+                                const ServerLoad& receiver_load,
+                                double limit,
+                                const SliceWeights& weights) {
+  MoveCandidate best;
   for (size_t i = 0; i < ranges.size(); ++i) {
     const KeyRange& whole = ranges[i].m_range;
     if (ranges[i].m_owner != donor) {
       continue;
     }
-    const KeyRange head{whole.m_first, CutBefore(whole, limit, weights)};
-    for (const KeyRange& keys : {head, TailOf(whole, limit, weights),
-                                 HottestOf(whole, limit, weights)}) {
-      const double weight = weights.Of(keys);
-      const double level_after = (to.m_load + weight) / to.m_target;
-      const bool fits = weight <= limit && (keys != whole || from.m_ranges > 1);
-      if ((fits || level_after * kHotGain < from.Level()) &&
+    const KeyRange head{whole.m_first, FindPrefixEnd(whole, limit, weights)};
+    for (const KeyRange& keys : {head, FindSuffix(whole, limit, weights),
+                                 FindHotPart(whole, limit, weights)}) {
+      const double weight = weights.ShareOf(keys);
+      const double utilization_after =
+          (receiver_load.m_load + weight) / receiver_load.m_target;
+      const bool fits =
+          weight <= limit && (keys != whole || donor_load.m_range_count > 1);
+      if ((fits ||
+           utilization_after * kHotSliceMinGain < donor_load.Utilization()) &&
           weight > best.m_weight) {
         best = {i, keys, weight};
       }
@@ -209,51 +212,52 @@
 // Gives a piece of the donor's keys away. Returns its weight; 0 when there is
 // none to give.
 double MovePiece(std::vector<PlannedRange>& ranges,
-                 Bins& bins,
+                 ServerLoads& loads,
                  const std::string& donor,
                  const std::string& receiver,
                  double limit,
                  const SliceWeights& weights) {
-  Bin& from = bins.at(donor);
-  Bin& to = bins.at(receiver);
-  const Piece piece = FindPiece(ranges, donor, from, to, limit, weights);
-  if (piece.m_weight <= 0) {
+  ServerLoad& donor_load = loads.at(donor);
+  ServerLoad& receiver_load = loads.at(receiver);
+  const MoveCandidate move = FindMoveCandidate(ranges, donor, donor_load,
+                                               receiver_load, limit, weights);
+  if (move.m_weight <= 0) {
     return 0;
   }
-  const KeyRange whole = ranges[piece.m_index].m_range;
-  ranges[piece.m_index] = {piece.m_keys, receiver};
-  --from.m_ranges;
-  if (whole.m_first < piece.m_keys.m_first) {
-    ranges.push_back({{whole.m_first, piece.m_keys.m_first - 1}, donor});
-    ++from.m_ranges;
+  const KeyRange whole = ranges[move.m_index].m_range;
+  ranges[move.m_index] = {move.m_keys, receiver};
+  --donor_load.m_range_count;
+  if (whole.m_first < move.m_keys.m_first) {
+    ranges.push_back({{whole.m_first, move.m_keys.m_first - 1}, donor});
+    ++donor_load.m_range_count;
   }
-  if (piece.m_keys.m_last < whole.m_last) {
-    ranges.push_back({{piece.m_keys.m_last + 1, whole.m_last}, donor});
-    ++from.m_ranges;
+  if (move.m_keys.m_last < whole.m_last) {
+    ranges.push_back({{move.m_keys.m_last + 1, whole.m_last}, donor});
+    ++donor_load.m_range_count;
   }
-  ++to.m_ranges;
-  from.m_load -= piece.m_weight;
-  to.m_load += piece.m_weight;
-  return piece.m_weight;
+  ++receiver_load.m_range_count;
+  donor_load.m_load -= move.m_weight;
+  receiver_load.m_load += move.m_weight;
+  return move.m_weight;
 }
 
 void FillEmptyServers(std::vector<PlannedRange>& ranges,
-                      Bins& bins,
+                      ServerLoads& loads,
                       const SliceWeights& weights) {
-  for (auto& [id, bin] : bins) {
-    const double target = bin.m_target * kFillTarget;
-    if (bin.m_load > 0) {
+  for (auto& [id, load] : loads) {
+    const double target = load.m_target * kFillTargetFraction;
+    if (load.m_load > 0) {
       continue;
     }
     // Less than the smallest piece is not worth a range of its own.
-    while (bin.m_load == 0 || target - bin.m_load > SmallestPiece(bins)) {
-      const auto donor = HighestBin(bins);
-      const double wanted =
-          std::min(target - bin.m_load,
-                   std::max(-donor->second.Room(),
-                            kFillPiece / static_cast<double>(bins.size())));
+    while (load.m_load == 0 || target - load.m_load > MinPieceShare(loads)) {
+      const auto donor = LeastHeadroom(loads);
+      const double limit = std::min(
+          target - load.m_load,
+          std::max(-donor->second.Headroom(),
+                   kMinFillPieceFraction / static_cast<double>(loads.size())));
       if (donor->first == id ||
-          MovePiece(ranges, bins, donor->first, id, wanted, weights) <= 0) {
+          MovePiece(ranges, loads, donor->first, id, limit, weights) <= 0) {
         break;
       }
     }
@@ -262,30 +266,31 @@
 
 // Returns how far a server's load is over its target beyond what is usual or
 // due to chance.
-double SurplusOf(const Bin& bin, const SliceWeights& weights) {
-  const double usual = bin.m_target * (kOverload - 1);
-  return -bin.Room() - std::max(usual, weights.Uncertainty(bin.m_target));
+double ExcessLoad(const ServerLoad& load, const SliceWeights& weights) {
+  const double tolerance = load.m_target * (kOverloadFactor - 1);
+  return -load.Headroom() -
+         std::max(tolerance, weights.Uncertainty(load.m_target));
 }
 
 // Moves one piece from the fullest server to the emptiest. Returns whether that
 // was worth it.
-bool Relieve(std::vector<PlannedRange>& ranges,
-             Bins& bins,
-             const SliceWeights& weights) {
+bool MoveFromOverloaded(std::vector<PlannedRange>& ranges,
+                        ServerLoads& loads,
+                        const SliceWeights& weights) {
   const auto donor =
-      std::ranges::max_element(bins, {}, [&weights](const auto& entry) {
-        return SurplusOf(entry.second, weights);
+      std::ranges::max_element(loads, {}, [&weights](const auto& entry) {
+        return ExcessLoad(entry.second, weights);
       });
-  if (SurplusOf(donor->second, weights) <= 0) {
+  if (ExcessLoad(donor->second, weights) <= 0) {
     return false;
   }
-  const auto receiver = LowestBin(bins);
-  const double wanted =
-      std::min(-donor->second.Room(), receiver->second.Room());
-  if (wanted < SmallestPiece(bins)) {
+  const auto receiver = MostHeadroom(loads);
+  const double limit =
+      std::min(-donor->second.Headroom(), receiver->second.Headroom());
+  if (limit < MinPieceShare(loads)) {
     return false;
   }
-  return MovePiece(ranges, bins, donor->first, receiver->first, wanted,
+  return MovePiece(ranges, loads, donor->first, receiver->first, limit,
                    weights) > 0;
 }
 
@@ -299,33 +304,33 @@
     std::vector<PlannedRange> ranges,
     const std::vector<PlannedServer>& servers,
     const SliceWeights& weights) const {
-  Bins bins = BinsOf(ranges, servers, weights);
-  if (bins.empty()) {
+  ServerLoads loads = SumLoads(ranges, servers, weights);
+  if (loads.empty()) {
     return ranges;
   }
-  std::vector<PlannedRange> planned;
+  std::vector<PlannedRange> plan;
   for (const PlannedRange& range : ranges) {
     if (range.m_owner.empty()) {
-      Scatter(range.m_range, bins, weights, planned);
+      AssignInPieces(range.m_range, loads, weights, plan);
     } else {
-      planned.push_back(range);
+      plan.push_back(range);
     }
   }
-  FillEmptyServers(planned, bins, weights);
-  Sort(planned);
-  return planned;
+  FillEmptyServers(plan, loads, weights);
+  Sort(plan);
+  return plan;
 }
 
-std::vector<PlannedRange> RelievePlanner::Plan(
+std::vector<PlannedRange> RebalancePlanner::Plan(
     std::vector<PlannedRange> ranges,
     const std::vector<PlannedServer>& servers,
     const SliceWeights& weights) const {
-  Bins bins = BinsOf(ranges, servers, weights);
-  if (bins.size() < 2) {
+  ServerLoads loads = SumLoads(ranges, servers, weights);
+  if (loads.size() < 2) {
     return ranges;
   }
-  for (uint32_t move = 0; move < kMovesPerPlan; ++move) {
-    if (!Relieve(ranges, bins, weights)) {
+  for (uint32_t move = 0; move < kMaxMovesPerPlan; ++move) {
+    if (!MoveFromOverloaded(ranges, loads, weights)) {
       break;
     }
   }
--- a/src/gateway/range_planner.h
+++ b/src/gateway/range_planner.h
@@ -43,7 +43,7 @@
 /// Load pattern: busy keys next to one another that change over the day. Moves
 /// pieces from the servers that are furthest above their targets, beyond what
 /// chance explains, to those that are furthest below.
-class RelievePlanner : public RangePlanner {
+class RebalancePlanner : public RangePlanner {
  public:
   std::vector<PlannedRange> Plan(std::vector<PlannedRange> ranges,
                                  const std::vector<PlannedServer>& servers,
--- a/src/gateway/slice_weights.cc
+++ b/src/gateway/slice_weights.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Part of the weight that is spread evenly over all keys.
-constexpr double kEvenPart = 0.2;
+constexpr double kUniformFraction = 0.2;
 
 // Standard deviations by which a count is taken to be off: one server in
 // hundreds then looks busier than it is.
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-SliceWeights::SliceWeights() : m_before(kSlices + 1) {
+SliceWeights::SliceWeights() : m_cumulative(kSlices + 1) {
   for (uint32_t i = 0; i <= kSlices; ++i) {
-    m_before[i] = static_cast<double>(i) / kSlices;
+    m_cumulative[i] = static_cast<double>(i) / kSlices;
   }
 }
 
@@ -28,25 +28,28 @@
     return;
   }
   m_samples = samples;
-  double before = 0;
+  double sum = 0;
   for (uint32_t i = 0; i < kSlices; ++i) {
-    m_before[i] = before;
-    before += kEvenPart / kSlices + (1 - kEvenPart) * rates[i] / total;
+    m_cumulative[i] = sum;
+    sum +=
+        kUniformFraction / kSlices + (1 - kUniformFraction) * rates[i] / total;
   }
-  m_before[kSlices] = before;
+  m_cumulative[kSlices] = sum;
 }
 
-double SliceWeights::Before(uint32_t key) const {
+double SliceWeights::CumulativeShare(uint32_t key) const {
   const uint32_t slice = key / kKeysPerSlice;
   if (slice >= kSlices) {
-    return m_before[kSlices];
+    return m_cumulative[kSlices];
   }
-  const double part = static_cast<double>(key % kKeysPerSlice) / kKeysPerSlice;
-  return m_before[slice] + part * (m_before[slice + 1] - m_before[slice]);
+  const double fraction =
+      static_cast<double>(key % kKeysPerSlice) / kKeysPerSlice;
+  return m_cumulative[slice] +
+         fraction * (m_cumulative[slice + 1] - m_cumulative[slice]);
 }
 
-double SliceWeights::Of(const KeyRange& range) const {
-  return Before(range.m_last + 1) - Before(range.m_first);
+double SliceWeights::ShareOf(const KeyRange& range) const {
+  return CumulativeShare(range.m_last + 1) - CumulativeShare(range.m_first);
 }
 
 double SliceWeights::Uncertainty(double share) const {
--- a/src/gateway/slice_weights.h
+++ b/src/gateway/slice_weights.h
@@ -27,16 +27,16 @@
   SliceWeights(std::span<const float> rates, double samples);
 
   /// Returns the share of the keys in a range; 1 for all keys.
-  double Of(const KeyRange& range) const;
+  double ShareOf(const KeyRange& range) const;
 
   /// Returns how far a measured share is likely to be off by chance.
   double Uncertainty(double share) const;
 
  private:
-  double Before(uint32_t key) const;
+  double CumulativeShare(uint32_t key) const;
 
   /// Sum of the shares before each slice, and of all at the end.
-  std::vector<double> m_before;
+  std::vector<double> m_cumulative;
   double m_samples = 0;
 };
 
--- a/src/gateway/speed_estimate.cc
+++ b/src/gateway/speed_estimate.cc
@@ -7,40 +7,47 @@
 
 // Older answers count for no more than this many, so that a server that has
 // become faster or slower shows.
-constexpr double kMemory = 25;
+constexpr double kMaxResponses = 25;
 
 // Answers that what is otherwise known stands for. The time of one request
 // varies as much as its mean; the slowdown that servers tell varies less.
-constexpr double kUsualSecondsWeight = 8;
-constexpr double kUsualSlowdownWeight = 2;
-
-double Blend(double known, double weight, double measured, double answers) {
-  return (known * weight + measured * answers) / (weight + answers);
+constexpr double kPriorSecondsWeight = 8;
+constexpr double kPriorSlowdownWeight = 2;
+
+double BlendWithPrior(double prior,
+                      double prior_weight,
+                      double measured,
+                      double responses) {
+  return (prior * prior_weight + measured * responses) /
+         (prior_weight + responses);
 }
 
 }  // namespace
 
-void SpeedEstimate::Add(double answers, double seconds, double slowdown) {
-  if (answers <= 0) {
+void SpeedEstimate::Add(double responses,
+                        double service_seconds,
+                        double slowdown) {
+  if (responses <= 0) {
     return;
   }
-  m_answers = std::min(m_answers + answers, kMemory);
-  const double gain = std::min(1.0, answers / m_answers);
-  m_seconds += gain * (seconds - m_seconds);
+  m_responses = std::min(m_responses + responses, kMaxResponses);
+  const double gain = std::min(1.0, responses / m_responses);
+  m_service_seconds += gain * (service_seconds - m_service_seconds);
   m_slowdown += gain * (slowdown - m_slowdown);
 }
 
-double SpeedEstimate::ExpectedSeconds(const SpeedEstimate& usual) const {
-  if (m_answers <= 0) {
-    return usual.m_seconds;
+double SpeedEstimate::ExpectedServiceSeconds(const SpeedEstimate& prior) const {
+  if (m_responses <= 0) {
+    return prior.m_service_seconds;
   }
-  double expected = usual.m_seconds;
-  if (m_slowdown > 0 && usual.m_slowdown > 0) {
-    expected *=
-        Blend(usual.m_slowdown, kUsualSlowdownWeight, m_slowdown, m_answers) /
-        usual.m_slowdown;
+  double expected = prior.m_service_seconds;
+  if (m_slowdown > 0 && prior.m_slowdown > 0) {
+    expected *= BlendWithPrior(prior.m_slowdown, kPriorSlowdownWeight,
+                               m_slowdown, m_responses) /
+                prior.m_slowdown;
   }
-  return Blend(expected, kUsualSecondsWeight, m_seconds, m_answers);
+  return BlendWithPrior(expected, kPriorSecondsWeight, m_service_seconds,
+                        m_responses);
 }
 
 }  // namespace foxtail
--- a/tests/gateway/load_targets_test.cc
+++ b/tests/gateway/load_targets_test.cc
@@ -9,7 +9,7 @@
 
 // The speeds of a deployment with two slots a server: two thirds of the servers
 // are fast, the others take over twice as long.
-std::vector<PlannedServer> UnequalServers() {
+std::vector<PlannedServer> MakeUnequalServers() {
   std::vector<PlannedServer> servers;
   for (size_t i = 0; i < 27; ++i) {
     const double seconds = i % 3 == 0 ? 0.24 : 0.1;
@@ -18,15 +18,15 @@
   return servers;
 }
 
-double MeanSeconds(const std::vector<PlannedServer>& servers) {
+double MeanServiceSeconds(const std::vector<PlannedServer>& servers) {
   double mean = 0;
   for (const PlannedServer& server : servers) {
-    mean += server.m_target * server.m_seconds;
+    mean += server.m_target * server.m_service_seconds;
   }
   return mean;
 }
 
-double SumOfTargets(const std::vector<PlannedServer>& servers) {
+double TotalTarget(const std::vector<PlannedServer>& servers) {
   return std::accumulate(servers.begin(), servers.end(), 0.0,
                          [](double sum, const PlannedServer& server) {
                            return sum + server.m_target;
@@ -36,33 +36,33 @@
 // Load pattern: a calm day, where the fast servers could do all the work. The
 // baseline fills every server to the same part of its capacity.
 TEST(LoadTargetsTest, SlowServersGetLittleOnACalmDay) {
-  std::vector<PlannedServer> baseline = UnequalServers();
+  std::vector<PlannedServer> baseline = MakeUnequalServers();
   CapacityTargets().SetTargets(baseline, 150);
-  std::vector<PlannedServer> chosen = UnequalServers();
-  ResponseTimeTargets().SetTargets(chosen, 150);
-  EXPECT_NEAR(SumOfTargets(baseline), 1, 1e-6);
-  EXPECT_NEAR(SumOfTargets(chosen), 1, 1e-6);
-  EXPECT_LT(MeanSeconds(chosen), MeanSeconds(baseline) * 0.9);
-  EXPECT_LT(chosen[0].m_target, baseline[0].m_target / 2);
-  EXPECT_GT(chosen[0].m_target, 0);
+  std::vector<PlannedServer> targets = MakeUnequalServers();
+  ResponseTimeTargets().SetTargets(targets, 150);
+  EXPECT_NEAR(TotalTarget(baseline), 1, 1e-6);
+  EXPECT_NEAR(TotalTarget(targets), 1, 1e-6);
+  EXPECT_LT(MeanServiceSeconds(targets), MeanServiceSeconds(baseline) * 0.9);
+  EXPECT_LT(targets[0].m_target, baseline[0].m_target / 2);
+  EXPECT_GT(targets[0].m_target, 0);
 }
 
 // Load pattern: demand beyond what all servers bear. Then only capacity counts.
 TEST(LoadTargetsTest, AllServersWorkWhenDemandIsHigh) {
-  std::vector<PlannedServer> baseline = UnequalServers();
+  std::vector<PlannedServer> baseline = MakeUnequalServers();
   CapacityTargets().SetTargets(baseline, 1000);
-  std::vector<PlannedServer> chosen = UnequalServers();
-  ResponseTimeTargets().SetTargets(chosen, 1000);
-  for (size_t i = 0; i < chosen.size(); ++i) {
-    EXPECT_NEAR(chosen[i].m_target, baseline[i].m_target,
+  std::vector<PlannedServer> targets = MakeUnequalServers();
+  ResponseTimeTargets().SetTargets(targets, 1000);
+  for (size_t i = 0; i < targets.size(); ++i) {
+    EXPECT_NEAR(targets[i].m_target, baseline[i].m_target,
                 baseline[i].m_target * 0.35);
   }
 }
 
 TEST(LoadTargetsTest, NoDemandIsSharedByCapacity) {
-  std::vector<PlannedServer> servers = UnequalServers();
+  std::vector<PlannedServer> servers = MakeUnequalServers();
   ResponseTimeTargets().SetTargets(servers, 0);
-  EXPECT_NEAR(SumOfTargets(servers), 1, 1e-6);
+  EXPECT_NEAR(TotalTarget(servers), 1, 1e-6);
 }
 
 }  // namespace
--- a/tests/gateway/ownership_test.cc
+++ b/tests/gateway/ownership_test.cc
@@ -12,9 +12,9 @@
   GatewayWorld world(5, 6);
   world.Run(seconds(3));
   EXPECT_LT(world.Leader(), world.m_hosts.size());
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.CountRouted(0), world.m_hosts.size());
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.CountRoutingHosts(0), world.m_hosts.size());
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 // Found on a day with many servers: a host of a tenth of a core led, could not
@@ -42,11 +42,11 @@
   world.Kill(killed);
   for (int i = 0; i < 60; ++i) {
     world.Run(milliseconds(100));
-    EXPECT_EQ(world.CountHeld(), kSampledKeys) << i;
+    EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys) << i;
   }
   EXPECT_NE(world.Leader(), killed);
   EXPECT_LT(world.Leader(), world.m_hosts.size());
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 TEST(GatewayOwnershipTest, KeysOfALostServerAreServedAgainAfterItsHold) {
@@ -56,44 +56,45 @@
   // The hold, its clock drift, the order that may have been on its way, and the
   // time to notice, to record and to grant.
   world.Run(milliseconds(4000 + 80 + 700 + 1500));
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 TEST(GatewayOwnershipTest, ADrainingServerIsEmptiedWithinASecond) {
   GatewayWorld world(3, 6);
   world.Run(seconds(3));
   world.m_servers[1].m_draining = true;
-  world.SetServer(1);
+  world.RegisterServer(1);
   world.Run(milliseconds(900));
-  EXPECT_EQ(world.CountHeldBy(1), 0U);
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeysOf(1), 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 TEST(GatewayOwnershipTest, AnEvacuatedDataCentreIsEmptiedAndTakenBack) {
   GatewayWorld world(3, 6);
   world.Run(seconds(3));
-  world.Evacuate("dc-1", true);
+  world.SetEvacuated("dc-1", true);
   world.Run(seconds(2));
-  EXPECT_EQ(world.CountHeldBy(1) + world.CountHeldBy(3) + world.CountHeldBy(5),
+  EXPECT_EQ(world.CountGrantedKeysOf(1) + world.CountGrantedKeysOf(3) +
+                world.CountGrantedKeysOf(5),
             0U);
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  world.Evacuate("dc-1", false);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  world.SetEvacuated("dc-1", false);
   world.Run(seconds(4));
-  EXPECT_GT(world.CountHeldBy(1), 0U);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_GT(world.CountGrantedKeysOf(1), 0U);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 TEST(GatewayOwnershipTest, ANewServerReceivesKeys) {
   GatewayWorld world(3, 6);
-  world.DropServer(5);
+  world.DeregisterServer(5);
   world.Run(seconds(3));
-  EXPECT_EQ(world.CountHeldBy(5), 0U);
-  world.SetServer(5);
+  EXPECT_EQ(world.CountGrantedKeysOf(5), 0U);
+  world.RegisterServer(5);
   world.Run(seconds(3));
-  EXPECT_GE(world.CountHeldBy(5), kSampledKeys / 6 / 2);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_GE(world.CountGrantedKeysOf(5), kSampledKeys / 6 / 2);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 // Found on the calm day: ranges that had moved stood in another order in the
@@ -102,9 +103,9 @@
 TEST(GatewayOwnershipTest, BusyKeysAreSpreadAfterOtherMoves) {
   GatewayWorld world(3, 6);
   world.Run(seconds(3));
-  world.Evacuate("dc-1", true);
+  world.SetEvacuated("dc-1", true);
   world.Run(seconds(2));
-  world.Evacuate("dc-1", false);
+  world.SetEvacuated("dc-1", false);
   world.Run(seconds(4));
   constexpr uint32_t kBusySamples = 4;
   constexpr uint32_t kSlicesPerSample = kSlices / kSampledKeys;
@@ -118,24 +119,24 @@
   for (const FakeServer& server : world.m_servers) {
     bool holds = false;
     for (uint32_t sample = 0; sample < kBusySamples; ++sample) {
-      holds = holds || server.Holds(sample, world.m_now);
+      holds = holds || server.HasGrant(sample, world.m_now);
     }
     holders += holds ? 1 : 0;
   }
   EXPECT_GE(holders, 3U);
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 TEST(GatewayOwnershipTest, ARestartedServerIsGrantedItsKeysAgain) {
   GatewayWorld world(3, 6);
   world.Run(seconds(3));
-  world.m_servers[0].m_holds = {};
+  world.m_servers[0].m_grants = {};
   world.m_servers[0].m_incarnation = 2;
-  world.SetServer(0);
+  world.RegisterServer(0);
   world.Run(milliseconds(200));
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 // Found on a hunted day: the leader was refused by the store, gave the longest
@@ -145,12 +146,12 @@
   GatewayWorld world(5, 6);
   world.Run(seconds(3));
   const size_t refused = world.Leader();
-  world.m_hosts[refused].m_store_refuses = true;
-  world.Evacuate("dc-1", true);
+  world.m_hosts[refused].m_store_unreachable = true;
+  world.SetEvacuated("dc-1", true);
   world.Run(seconds(8));
   EXPECT_NE(world.Leader(), refused);
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 TEST(GatewayOwnershipTest, KeysOutlastAnOutageOfTheStore) {
@@ -159,12 +160,12 @@
   world.m_store_down = true;
   for (int i = 0; i < 90; ++i) {
     world.Run(milliseconds(100));
-    EXPECT_EQ(world.CountHeld(), kSampledKeys) << i;
+    EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys) << i;
   }
   world.m_store_down = false;
   world.Run(seconds(2));
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 // A due time in the past would make the control thread spin.
@@ -179,7 +180,7 @@
   for (const FakeHost& host : world.m_hosts) {
     EXPECT_GT(host.m_tables.m_next_due, world.m_now);
   }
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
 }
 
 TEST(GatewayOwnershipTest, AllHostsLostAtOnceServeAgain) {
@@ -189,14 +190,14 @@
     world.Kill(host);
   }
   world.Run(seconds(6));
-  EXPECT_EQ(world.CountHeld(), 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), 0U);
   for (size_t host = 0; host < 5; ++host) {
     world.Start(host);
   }
   world.Run(seconds(4));
-  EXPECT_EQ(world.CountHeld(), kSampledKeys);
-  EXPECT_EQ(world.CountRouted(7), world.m_hosts.size());
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.CountGrantedKeys(), kSampledKeys);
+  EXPECT_EQ(world.CountRoutingHosts(7), world.m_hosts.size());
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 // Random faults in series that overlap; only safety is checked while they last.
@@ -206,9 +207,9 @@
   std::minstd_rand random(GetParam());
   const auto below = [&random](size_t limit) { return random() % limit; };
   GatewayWorld world(5, 6, GetParam());
-  world.m_lost_answers = 0.1;
-  world.m_late_grants = 0.05;
-  world.m_lost_datagrams = 0.05;
+  world.m_lost_response_rate = 0.1;
+  world.m_late_grant_rate = 0.05;
+  world.m_lost_datagram_rate = 0.05;
   world.Run(seconds(3));
   for (int i = 0; i < 60; ++i) {
     const size_t host = below(5);
@@ -218,34 +219,34 @@
         world.m_hosts[host].m_up ? world.Kill(host) : world.Start(host);
         break;
       case 1:
-        world.m_hosts[host].m_store_refuses ^= true;
+        world.m_hosts[host].m_store_unreachable ^= true;
         break;
       case 2:
         world.m_store_down ^= true;
         break;
       case 3:
         world.m_servers[server].m_draining ^= true;
-        world.SetServer(server);
+        world.RegisterServer(server);
         break;
       case 4:
-        world.Evacuate("dc-" + std::to_string(below(2)), below(2) == 0);
+        world.SetEvacuated("dc-" + std::to_string(below(2)), below(2) == 0);
         break;
       case 5:
-        world.m_servers[server].m_holds = {};
+        world.m_servers[server].m_grants = {};
         ++world.m_servers[server].m_incarnation;
-        world.SetServer(server);
+        world.RegisterServer(server);
         break;
       case 6:
-        if (!world.m_servers[server].m_cut_from.erase(host)) {
-          world.m_servers[server].m_cut_from.insert(host);
+        if (!world.m_servers[server].m_unreachable_from.erase(host)) {
+          world.m_servers[server].m_unreachable_from.insert(host);
         }
         break;
       default:
-        world.m_hosts[host].m_cut ^= true;
+        world.m_hosts[host].m_isolated ^= true;
     }
     world.Run(milliseconds(100 + below(1500)));
   }
-  EXPECT_EQ(world.m_double_holds, 0U);
+  EXPECT_EQ(world.m_double_grants, 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GatewayChaosTest, testing::Range(1U, 41U));
--- a/tests/gateway/range_planner_test.cc
+++ b/tests/gateway/range_planner_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Servers of one speed with even targets.
-std::vector<PlannedServer> Servers(size_t count) {
+std::vector<PlannedServer> MakeServers(size_t count) {
   std::vector<PlannedServer> servers;
   for (size_t i = 0; i < count; ++i) {
     servers.push_back({"server-" + std::to_string(i), 2, 0.1,
@@ -18,11 +18,11 @@
 }
 
 // The first slices get a part of the requests, the others the rest.
-SliceWeights BusyAtTheBeginning(uint32_t slices, double part, double samples) {
+SliceWeights HotPrefix(uint32_t slices, double hot_share, double samples) {
   std::vector<float> rates(kSlices);
   for (uint32_t i = 0; i < kSlices; ++i) {
-    rates[i] = static_cast<float>(i < slices ? part / slices
-                                             : (1 - part) / (kSlices - slices));
+    rates[i] = static_cast<float>(
+        i < slices ? hot_share / slices : (1 - hot_share) / (kSlices - slices));
   }
   return {rates, samples};
 }
@@ -32,7 +32,7 @@
               const SliceWeights& weights) {
   double load = 0;
   for (const PlannedRange& range : ranges) {
-    load += range.m_owner == server ? weights.Of(range.m_range) : 0;
+    load += range.m_owner == server ? weights.ShareOf(range.m_range) : 0;
   }
   return load;
 }
@@ -50,7 +50,7 @@
 
 TEST(RangePlannerTest, OrphansAreSpreadOverTheServersWithRoom) {
   const SliceWeights weights;
-  const auto servers = Servers(6);
+  const auto servers = MakeServers(6);
   const auto plan =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, weights);
   ExpectCover(plan);
@@ -61,18 +61,18 @@
 
 TEST(RangePlannerTest, NothingMovesWithoutNeed) {
   const SliceWeights weights;
-  const auto servers = Servers(6);
+  const auto servers = MakeServers(6);
   const auto plan =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, weights);
   EXPECT_EQ(FillPlanner().Plan(plan, servers, weights), plan);
-  EXPECT_EQ(RelievePlanner().Plan(plan, servers, weights), plan);
+  EXPECT_EQ(RebalancePlanner().Plan(plan, servers, weights), plan);
 }
 
 TEST(RangePlannerTest, AnEmptyServerIsFilledFromTheFullest) {
   const SliceWeights weights;
   const auto five =
-      FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, Servers(5), weights);
-  const auto plan = FillPlanner().Plan(five, Servers(6), weights);
+      FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, MakeServers(5), weights);
+  const auto plan = FillPlanner().Plan(five, MakeServers(6), weights);
   ExpectCover(plan);
   EXPECT_GT(LoadOf(plan, "server-5", weights), 0.1);
 }
@@ -83,7 +83,7 @@
   const SliceWeights weights;
   std::vector<PlannedRange> plan = {{{0, kShardKeys - 1}, ""}};
   for (size_t count = 1; count <= 60; ++count) {
-    plan = FillPlanner().Plan(plan, Servers(count), weights);
+    plan = FillPlanner().Plan(plan, MakeServers(count), weights);
   }
   ExpectCover(plan);
   // A leader with half a core and hundreds of servers spends a third of it on
@@ -94,50 +94,49 @@
 // Load pattern: busy keys next to one another at one server. The baseline moves
 // nothing.
 TEST(RangePlannerTest, BusyKeysAreRelieved) {
-  const auto servers = Servers(4);
+  const auto servers = MakeServers(4);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
-  const SliceWeights weights = BusyAtTheBeginning(512, 0.6, 1000);
-  const std::string busy = start.front().m_owner;
-  const double before = LoadOf(start, busy, weights);
+  const SliceWeights weights = HotPrefix(512, 0.6, 1000);
+  const std::string hot_server = start.front().m_owner;
+  const double before = LoadOf(start, hot_server, weights);
   EXPECT_EQ(FillPlanner().Plan(start, servers, weights), start);
-  const auto plan = RelievePlanner().Plan(start, servers, weights);
+  const auto plan = RebalancePlanner().Plan(start, servers, weights);
   ExpectCover(plan);
-  EXPECT_LT(LoadOf(plan, busy, weights), before * 0.6);
+  EXPECT_LT(LoadOf(plan, hot_server, weights), before * 0.6);
 }
 
 // Load pattern of the calm day: 42 of 100 requests are for 60 keys next to one
 // another, more than any one server answers.
 TEST(RangePlannerTest, SixtyBusyKeysAreSpreadOverSeveralServers) {
-  const auto servers = Servers(27);
+  const auto servers = MakeServers(27);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
-  const SliceWeights weights =
-      BusyAtTheBeginning(60 / kKeysPerSlice, 0.42, 300);
+  const SliceWeights weights = HotPrefix(60 / kKeysPerSlice, 0.42, 300);
   auto plan = start;
   for (int round = 0; round < 3; ++round) {
-    plan = RelievePlanner().Plan(plan, servers, weights);
+    plan = RebalancePlanner().Plan(plan, servers, weights);
   }
   ExpectCover(plan);
-  double most = 0;
+  double max_load = 0;
   for (const PlannedServer& server : servers) {
-    most = std::max(most, LoadOf(plan, server.m_id, weights));
+    max_load = std::max(max_load, LoadOf(plan, server.m_id, weights));
   }
-  EXPECT_LT(most, 0.42 / 4);
+  EXPECT_LT(max_load, 0.42 / 4);
 }
 
 TEST(RangePlannerTest, WhatChanceExplainsMovesNothing) {
-  const auto servers = Servers(20);
+  const auto servers = MakeServers(20);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
   // Twice the even load at one server, known by five requests in all.
-  const SliceWeights weights = BusyAtTheBeginning(kSlices / 20, 0.1, 5);
-  EXPECT_EQ(RelievePlanner().Plan(start, servers, weights), start);
+  const SliceWeights weights = HotPrefix(kSlices / 20, 0.1, 5);
+  EXPECT_EQ(RebalancePlanner().Plan(start, servers, weights), start);
 }
 
 TEST(RangePlannerTest, OneBusySliceGoesToTheStrongestServer) {
-  const SliceWeights weights = BusyAtTheBeginning(1, 0.8, 1000);
-  std::vector<PlannedServer> servers = Servers(3);
+  const SliceWeights weights = HotPrefix(1, 0.8, 1000);
+  std::vector<PlannedServer> servers = MakeServers(3);
   servers[0].m_target = 0.2;
   servers[1].m_target = 0.2;
   servers[2].m_target = 0.6;
@@ -145,7 +144,7 @@
       {{0, kKeysPerSlice - 1}, "server-0"},
       {{kKeysPerSlice, 30'015}, "server-1"},
       {{30'016, kShardKeys - 1}, "server-2"}};
-  const auto plan = RelievePlanner().Plan(start, servers, weights);
+  const auto plan = RebalancePlanner().Plan(start, servers, weights);
   ExpectCover(plan);
   EXPECT_EQ(plan.front().m_owner, "server-2");
 }
--- a/tests/gateway/relay_test.cc
+++ b/tests/gateway/relay_test.cc
@@ -24,28 +24,28 @@
 
 void Drain(GatewayWorld& world) {
   world.m_servers[1].m_draining = true;
-  world.SetServer(1);
+  world.RegisterServer(1);
 }
 
 TEST(RelayTest, AChangeReachesAllHostsThroughTheLeaderAlone) {
   GatewayWorld world(10, 6);
   world.Run(seconds(4));
-  world.m_reads = 0;
+  world.m_watch_reads = 0;
   Drain(world);
   world.Run(milliseconds(50));
   EXPECT_EQ(CountUnaware(world), 0U);
   // The change itself, and what the leader then wrote about owners.
-  EXPECT_LE(world.m_reads, 4U);
+  EXPECT_LE(world.m_watch_reads, 4U);
 }
 
 TEST(RelayTest, LostNewsAreReadFromTheStore) {
   GatewayWorld world(10, 6);
   world.Run(seconds(4));
-  world.m_lost_datagrams = 0.5;
+  world.m_lost_datagram_rate = 0.5;
   Drain(world);
   world.Run(milliseconds(50));
   EXPECT_GT(CountUnaware(world), 0U);
-  world.m_lost_datagrams = 0;
+  world.m_lost_datagram_rate = 0;
   // A report, the pause before a read, and the read.
   world.Run(milliseconds(900));
   EXPECT_EQ(CountUnaware(world), 0U);
@@ -66,7 +66,7 @@
   GatewayWorld world(5, 6);
   world.Run(seconds(4));
   const size_t leader = world.Leader();
-  world.m_hosts[leader].m_store_refuses = true;
+  world.m_hosts[leader].m_store_unreachable = true;
   Drain(world);
   world.Run(milliseconds(1500));
   // The leader itself hears it only once another leads.
@@ -78,7 +78,7 @@
 // outage, and went on sending to it, though the leader had never lost the
 // store.
 TEST(RelayTest, AServerThatLeavesIsGoneForAHostThatWasCutOff) {
-  const FakeDirectory decoder;
+  const FakeDirectoryDecoder decoder;
   const DirectorySystem directory(decoder);
   GatewayTables tables;
   const Now now{TimePoint() + seconds(100), WallTime(), BootTime(seconds(100))};
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -19,7 +19,7 @@
 constexpr milliseconds kStep{10};
 constexpr milliseconds kNetworkDelay{2};
 constexpr milliseconds kStoreDelay{5};
-constexpr milliseconds kOrderTimeout{700};
+constexpr milliseconds kServerCallTimeout{700};
 constexpr uint32_t kKeysPerSample = kShardKeys / kSampledKeys;
 constexpr const char* kService = "catalogue";
 
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-OperatorRowKind FakeDirectory::KindOf(const std::string& key,
-                                      std::string& data_centre) const {
+OperatorRowKind FakeDirectoryDecoder::KindOf(const std::string& key,
+                                             std::string& data_centre) const {
   if (key == "config") {
     return OperatorRowKind::kConfiguration;
   }
@@ -42,7 +42,7 @@
   return OperatorRowKind::kEvacuation;
 }
 
-RoutingConfig FakeDirectory::DecodeConfiguration(
+RoutingConfig FakeDirectoryDecoder::DecodeConfiguration(
     const std::string& value) const {
   RoutingConfig config;
   config.m_version = std::stoull(value);
@@ -50,8 +50,9 @@
   return config;
 }
 
-BackendServerEntry FakeDirectory::DecodeServer(const std::string& key,
-                                               const std::string& value) const {
+BackendServerEntry FakeDirectoryDecoder::DecodeServer(
+    const std::string& key,
+    const std::string& value) const {
   std::istringstream fields(value);
   BackendServerEntry entry;
   entry.m_id = key;
@@ -64,10 +65,10 @@
 
 GatewayWorld::GatewayWorld(size_t hosts, size_t servers, uint32_t seed)
     : m_hosts(hosts), m_servers(servers), m_random(seed) {
-  Put(m_decoder.OperatorTable(), "config", "1");
+  PutRow(m_decoder.OperatorTable(), "config", "1");
   for (size_t i = 0; i < servers; ++i) {
     m_servers[i].m_data_centre = "dc-" + std::to_string(i % 2);
-    SetServer(i);
+    RegisterServer(i);
   }
   for (size_t i = 0; i < hosts; ++i) {
     Start(i);
@@ -78,27 +79,28 @@
   return {m_now, WallTime(), BootTime(m_now.time_since_epoch())};
 }
 
-void GatewayWorld::Put(const std::string& table,
-                       const std::string& key,
-                       const std::string& value,
-                       bool removed) {
+void GatewayWorld::PutRow(const std::string& table,
+                          const std::string& key,
+                          const std::string& value,
+                          bool removed) {
   m_rows[{table, key}] = {++m_version, value, removed};
 }
 
-void GatewayWorld::SetServer(size_t server) {
+void GatewayWorld::RegisterServer(size_t server) {
   const FakeServer& fake = m_servers[server];
   std::ostringstream fields;
   fields << "10.1.0." << server + 1 << ":80 " << fake.m_data_centre << " "
          << fake.m_draining << " " << fake.m_incarnation;
-  Put(m_decoder.ServerTable(), ServerName(server), fields.str());
+  PutRow(m_decoder.ServerTable(), ServerName(server), fields.str());
 }
 
-void GatewayWorld::DropServer(size_t server) {
-  Put(m_decoder.ServerTable(), ServerName(server), "", true);
+void GatewayWorld::DeregisterServer(size_t server) {
+  PutRow(m_decoder.ServerTable(), ServerName(server), "", true);
 }
 
-void GatewayWorld::Evacuate(const std::string& data_centre, bool evacuate) {
-  Put(m_decoder.OperatorTable(), data_centre, "", !evacuate);
+void GatewayWorld::SetEvacuated(const std::string& data_centre,
+                                bool evacuated) {
+  PutRow(m_decoder.OperatorTable(), data_centre, "", !evacuated);
 }
 
 void GatewayWorld::Kill(size_t host) {
@@ -125,9 +127,9 @@
 
 void GatewayWorld::Step() {
   m_now += kStep;
-  while (!m_later.empty() && m_later.begin()->first <= m_now) {
-    const std::function<void()> action = m_later.begin()->second;
-    m_later.erase(m_later.begin());
+  while (!m_scheduled.empty() && m_scheduled.begin()->first <= m_now) {
+    const std::function<void()> action = m_scheduled.begin()->second;
+    m_scheduled.erase(m_scheduled.begin());
     action();
   }
   for (size_t host = 0; host < m_hosts.size(); ++host) {
@@ -135,7 +137,7 @@
       RunHost(host);
     }
   }
-  CheckHolds();
+  CountDoubleGrants();
 }
 
 void GatewayWorld::RunHost(size_t host) {
@@ -151,12 +153,12 @@
   fake.m_tables.m_events.clear();
   for (const ControlCommand& command :
        std::exchange(fake.m_tables.m_outbox, {})) {
-    Carry(host, command);
+    ExecuteCommand(host, command);
   }
 }
 
 bool GatewayWorld::ReachesStore(size_t host) const {
-  return !m_store_down && !m_hosts[host].m_store_refuses;
+  return !m_store_down && !m_hosts[host].m_store_unreachable;
 }
 
 void GatewayWorld::DeliverWatches(size_t host) {
@@ -179,25 +181,26 @@
 void GatewayWorld::ReadChanges(size_t host, WatchedKind kind) {
   GatewayTables& tables = m_hosts[host].m_tables;
   WatchProgress& progress = tables.m_progress[kind];
-  const std::array<std::string, kWatchedKinds> names = {
+  const std::array<std::string, kWatchedKinds> table_names = {
       m_decoder.OperatorTable(), m_decoder.ServerTable(), kClusterTable};
   RowsResult result{StoreOutcome::kDone, {}, std::max<uint64_t>(1, m_version)};
   for (const auto& [key, value] : m_rows) {
-    if (key.first == names[kind] && value.m_version > progress.m_read_up_to) {
+    if (key.first == table_names[kind] &&
+        value.m_version > progress.m_read_up_to) {
       result.m_rows.push_back(
           {key.second, value.m_value, value.m_version, value.m_removed});
     }
   }
-  m_reads += result.m_rows.empty() ? 0 : 1;
+  m_watch_reads += result.m_rows.empty() ? 0 : 1;
   progress.m_read_at = ReadNow().m_boot;
   RelaySystem::OnRead(tables, kind, progress.m_newest_change, result,
                       ReadNow());
-  TakeRows(host, kind, result);
+  ApplyRows(host, kind, result);
 }
 
-void GatewayWorld::TakeRows(size_t host,
-                            WatchedKind kind,
-                            const RowsResult& result) {
+void GatewayWorld::ApplyRows(size_t host,
+                             WatchedKind kind,
+                             const RowsResult& result) {
   GatewayTables& tables = m_hosts[host].m_tables;
   tables.m_progress[kind].NoteRows(result, false);
   if (result.m_rows.empty()) {
@@ -213,11 +216,11 @@
 }
 
 // Results reach only the process that asked.
-void GatewayWorld::Later(size_t host,
-                         Duration delay,
-                         std::function<void()> action) {
+void GatewayWorld::Schedule(size_t host,
+                            Duration delay,
+                            std::function<void()> action) {
   const uint64_t incarnation = m_hosts[host].m_incarnation;
-  m_later.emplace(
+  m_scheduled.emplace(
       m_now + delay, [this, host, incarnation, action = std::move(action)] {
         if (m_hosts[host].m_up && m_hosts[host].m_incarnation == incarnation) {
           action();
@@ -225,8 +228,8 @@
       });
 }
 
-void GatewayWorld::Carry(size_t host, const ControlCommand& command) {
-  std::visit([&](const auto& kind) { CarryOut(host, kind); }, command);
+void GatewayWorld::ExecuteCommand(size_t host, const ControlCommand& command) {
+  std::visit([&](const auto& typed) { Execute(host, typed); }, command);
 }
 
 size_t GatewayWorld::ServerAt(const std::string& address) const {
@@ -234,60 +237,64 @@
   return std::stoul(address.substr(begin)) - 1;
 }
 
-OrderOutcome GatewayWorld::Apply(size_t server, const GrantCommand& command) {
+OrderOutcome GatewayWorld::ApplyGrant(size_t server,
+                                      const GrantCommand& command) {
   FakeServer& fake = m_servers[server];
   for (uint32_t i = 0; i < kSampledKeys; ++i) {
     if (command.m_keys.Contains(i * kKeysPerSample) &&
-        fake.m_holds[i].m_highest_fence > command.m_fence) {
+        fake.m_grants[i].m_highest_fence > command.m_fence) {
       return OrderOutcome::kFenced;
     }
   }
   for (uint32_t i = 0; i < kSampledKeys; ++i) {
     if (command.m_keys.Contains(i * kKeysPerSample)) {
-      fake.m_holds[i] = {command.m_fence, command.m_fence,
-                         m_now + command.m_hold};
+      fake.m_grants[i] = {command.m_fence, command.m_fence,
+                          m_now + command.m_hold};
     }
   }
   return OrderOutcome::kDone;
 }
 
-void GatewayWorld::CarryOut(size_t host, const GrantCommand& command) {
+void GatewayWorld::Execute(size_t host, const GrantCommand& command) {
   const size_t server = ServerAt(command.m_address);
   const int64_t incarnation = m_servers[server].m_incarnation;
-  const bool reached =
-      m_servers[server].m_up && !m_servers[server].m_cut_from.contains(host);
+  const bool reached = m_servers[server].m_up &&
+                       !m_servers[server].m_unreachable_from.contains(host);
   std::uniform_real_distribution<double> chance(0, 1);
   OrderOutcome outcome = OrderOutcome::kUnknown;
-  if (reached && chance(m_random) < m_late_grants) {
+  if (reached && chance(m_random) < m_late_grant_rate) {
     // Its time counts from its arrival, so what is left of it is applied.
     GrantCommand late = command;
-    late.m_hold -= m_late_by;
-    m_later.emplace(m_now + m_late_by, [this, server, incarnation, late] {
-      const bool same = m_servers[server].m_incarnation == incarnation;
-      if (m_servers[server].m_up && same && late.m_hold > Duration(0)) {
-        Apply(server, late);
-      }
-    });
+    late.m_hold -= m_late_grant_delay;
+    m_scheduled.emplace(m_now + m_late_grant_delay,
+                        [this, server, incarnation, late] {
+                          const bool same_incarnation =
+                              m_servers[server].m_incarnation == incarnation;
+                          if (m_servers[server].m_up && same_incarnation &&
+                              late.m_hold > Duration(0)) {
+                            ApplyGrant(server, late);
+                          }
+                        });
   } else if (reached) {
-    outcome = Apply(server, command);
+    outcome = ApplyGrant(server, command);
   }
   const Duration delay = outcome == OrderOutcome::kUnknown
-                             ? Duration(kOrderTimeout)
+                             ? Duration(kServerCallTimeout)
                              : Duration(kNetworkDelay);
-  Later(host, delay, [this, host, command, outcome] {
+  Schedule(host, delay, [this, host, command, outcome] {
     GrantOrderSystem::OnGranted(m_hosts[host].m_tables, command, outcome,
                                 ReadNow());
   });
 }
 
-void GatewayWorld::CarryOut(size_t host, const ReleaseCommand& command) {
+void GatewayWorld::Execute(size_t host, const ReleaseCommand& command) {
   const size_t server = ServerAt(command.m_address);
   FakeServer& fake = m_servers[server];
-  const bool reached = fake.m_up && !fake.m_cut_from.contains(host);
+  const bool reached = fake.m_up && !fake.m_unreachable_from.contains(host);
   if (reached) {
     for (uint32_t i = 0; i < kSampledKeys; ++i) {
       if (command.m_keys.Contains(i * kKeysPerSample)) {
-        fake.m_holds[i].m_until = TimePoint();
+        fake.m_grants[i].m_until = TimePoint();
       }
     }
   }
@@ -295,13 +302,13 @@
       reached ? OrderOutcome::kDone : OrderOutcome::kUnknown;
   const Duration delay =
       reached ? Duration(milliseconds(100)) : command.m_timeout;
-  Later(host, delay, [this, host, command, outcome] {
+  Schedule(host, delay, [this, host, command, outcome] {
     GrantOrderSystem::OnReleased(m_hosts[host].m_tables, command, outcome,
                                  "handover", ReadNow());
   });
 }
 
-void GatewayWorld::CarryOut(size_t host, const ReadRowCommand& command) {
+void GatewayWorld::Execute(size_t host, const ReadRowCommand& command) {
   RowsResult result;
   if (ReachesStore(host)) {
     result.m_outcome = StoreOutcome::kDone;
@@ -311,7 +318,7 @@
           {command.m_key, row->second.m_value, row->second.m_version});
     }
   }
-  Later(host, kStoreDelay, [this, host, command, result] {
+  Schedule(host, kStoreDelay, [this, host, command, result] {
     GatewayTables& tables = m_hosts[host].m_tables;
     if (command.m_table == kLeadTable) {
       LeadershipSystem::OnRead(tables, result, ReadNow());
@@ -321,7 +328,7 @@
   });
 }
 
-void GatewayWorld::CarryOut(size_t host, const WriteRowCommand& command) {
+void GatewayWorld::Execute(size_t host, const WriteRowCommand& command) {
   const RowWrite& write = command.m_write;
   WriteResult result;
   if (ReachesStore(host)) {
@@ -332,16 +339,16 @@
                            ? StoreOutcome::kDone
                            : StoreOutcome::kMismatch;
     if (result.m_outcome == StoreOutcome::kDone) {
-      Put(write.m_table, write.m_key, write.m_value.value_or(""),
-          !write.m_value);
+      PutRow(write.m_table, write.m_key, write.m_value.value_or(""),
+             !write.m_value);
       result.m_version = m_version;
     }
     std::uniform_real_distribution<double> chance(0, 1);
-    if (chance(m_random) < m_lost_answers) {
+    if (chance(m_random) < m_lost_response_rate) {
       result.m_outcome = StoreOutcome::kUnknown;
     }
   }
-  Later(host, kStoreDelay, [this, host, write, result] {
+  Schedule(host, kStoreDelay, [this, host, write, result] {
     GatewayTables& tables = m_hosts[host].m_tables;
     if (write.m_table == kLeadTable) {
       LeadershipSystem::OnWritten(tables, result, ReadNow());
@@ -353,15 +360,15 @@
   });
 }
 
-void GatewayWorld::CarryOut(size_t host, const SendCommand& command) {
+void GatewayWorld::Execute(size_t host, const SendCommand& command) {
   std::uniform_real_distribution<double> chance(0, 1);
   for (size_t target = 0; target < m_hosts.size(); ++target) {
     const bool addressed =
         std::ranges::count(command.m_addresses, HostAddress(target)) > 0;
-    if (addressed && !m_hosts[host].m_cut && !m_hosts[target].m_cut &&
-        chance(m_random) >= m_lost_datagrams) {
-      Later(target, kNetworkDelay,
-            [this, target, command] { Receive(target, command.m_message); });
+    if (addressed && !m_hosts[host].m_isolated && !m_hosts[target].m_isolated &&
+        chance(m_random) >= m_lost_datagram_rate) {
+      Schedule(target, kNetworkDelay,
+               [this, target, command] { Receive(target, command.m_message); });
     }
   }
 }
@@ -370,29 +377,29 @@
   GatewayTables& tables = m_hosts[host].m_tables;
   const Now now = ReadNow();
   if (const auto* report = std::get_if<MemberReport>(&message)) {
-    if (auto digest = MemberSystem::OnReport(tables, *report, now)) {
-      Carry(host, SendCommand{{report->m_address}, *digest});
+    if (auto response = MemberSystem::OnReport(tables, *report, now)) {
+      ExecuteCommand(host, SendCommand{{report->m_address}, *response});
     }
-  } else if (const auto* news = std::get_if<RowsNews>(&message)) {
-    if (const auto rows = RelaySystem::OnNews(tables, *news, now)) {
-      TakeRows(host, static_cast<WatchedKind>(news->m_kind), *rows);
+  } else if (const auto* relayed = std::get_if<RowsNews>(&message)) {
+    if (const auto rows = RelaySystem::OnNews(tables, *relayed, now)) {
+      ApplyRows(host, static_cast<WatchedKind>(relayed->m_kind), *rows);
     }
   } else {
-    const auto& digest = std::get<LeaderDigest>(message);
-    LeadershipSystem::OnDigest(tables, digest, now);
-    MemberSystem::OnDigest(tables, digest, now);
+    const auto& response = std::get<LeaderDigest>(message);
+    LeadershipSystem::OnDigest(tables, response, now);
+    MemberSystem::OnDigest(tables, response, now);
   }
 }
 
-void GatewayWorld::CheckHolds() {
+void GatewayWorld::CountDoubleGrants() {
   for (uint32_t sample = 0; sample < kSampledKeys; ++sample) {
-    const auto holders = std::ranges::count_if(
+    const auto owners = std::ranges::count_if(
         m_servers,
-        [&](const FakeServer& server) {  // Holds of a millisecond only carry a
+        [&](const FakeServer& server) {  // Grants of a millisecond only carry a
                                          // token and count for nothing.
-          return server.Holds(sample, m_now + kStep / 2);
+          return server.HasGrant(sample, m_now + kStep / 2);
         });
-    m_double_holds += holders > 1 ? 1 : 0;
+    m_double_grants += owners > 1 ? 1 : 0;
   }
 }
 
@@ -404,33 +411,33 @@
   return static_cast<size_t>(leader - m_hosts.begin());
 }
 
-size_t GatewayWorld::CountHeldBy(size_t server) const {
-  size_t held = 0;
+size_t GatewayWorld::CountGrantedKeysOf(size_t server) const {
+  size_t granted = 0;
   for (uint32_t sample = 0; sample < kSampledKeys; ++sample) {
-    held += m_servers[server].Holds(sample, m_now) ? 1 : 0;
+    granted += m_servers[server].HasGrant(sample, m_now) ? 1 : 0;
   }
-  return held;
+  return granted;
 }
 
-size_t GatewayWorld::CountHeld() const {
-  size_t held = 0;
+size_t GatewayWorld::CountGrantedKeys() const {
+  size_t granted = 0;
   for (size_t server = 0; server < m_servers.size(); ++server) {
-    held += CountHeldBy(server);
+    granted += CountGrantedKeysOf(server);
   }
-  return held;
+  return granted;
 }
 
-size_t GatewayWorld::CountRouted(uint32_t sample) const {
+size_t GatewayWorld::CountRoutingHosts(uint32_t sample) const {
   size_t routed = 0;
   for (const FakeHost& host : m_hosts) {
     const auto snapshot = BuildSnapshot(host.m_tables);
-    const RoutedPlaces* places = snapshot->FindPlaces(kService);
+    const RoutedPlaces* endpoints = snapshot->FindPlaces(kService);
     const RoutedRange* range =
-        places ? places->FindRange(sample * kKeysPerSample) : nullptr;
+        endpoints ? endpoints->FindRange(sample * kKeysPerSample) : nullptr;
     for (size_t server = 0; server < m_servers.size(); ++server) {
       routed += range && range->m_settled &&
                         range->m_server == ServerName(server) &&
-                        m_servers[server].Holds(sample, m_now)
+                        m_servers[server].HasGrant(sample, m_now)
                     ? 1
                     : 0;
     }
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -16,7 +16,7 @@
 
 /// Fake of the rows that operators and servers write: fields separated by
 /// spaces.
-class FakeDirectory : public DirectoryDecoder {
+class FakeDirectoryDecoder : public DirectoryDecoder {
  public:
   std::string OperatorTable() const override { return "operators"; }
   std::string ServerTable() const override { return "servers"; }
@@ -38,17 +38,17 @@
   int64_t m_incarnation = 1;
 
   /// Hosts that cannot reach it.
-  std::set<size_t> m_cut_from;
+  std::set<size_t> m_unreachable_from;
 
-  struct Hold {
+  struct Grant {
     uint64_t m_fence = 0;
     uint64_t m_highest_fence = 0;
     TimePoint m_until;
   };
-  std::array<Hold, kSampledKeys> m_holds{};
+  std::array<Grant, kSampledKeys> m_grants{};
 
-  bool Holds(uint32_t sample, TimePoint now) const {
-    return m_up && now < m_holds[sample].m_until;
+  bool HasGrant(uint32_t sample, TimePoint now) const {
+    return m_up && now < m_grants[sample].m_until;
   }
 };
 
@@ -59,10 +59,10 @@
   double m_processor_share = 1;
 
   /// The store refuses this host, or neither end hears the other.
-  bool m_store_refuses = false;
+  bool m_store_unreachable = false;
 
   /// Cut off from the other hosts.
-  bool m_cut = false;
+  bool m_isolated = false;
   uint64_t m_incarnation = 0;
   TimePoint m_next_report;
 
@@ -76,44 +76,44 @@
  public:
   GatewayWorld(size_t hosts, size_t servers, uint32_t seed = 1);
 
-  /// Goes on for a time. Failed checks are counted in `m_double_holds`.
+  /// Goes on for a time. Failed checks are counted in `m_double_grants`.
   void Run(Duration duration);
 
   /// Ends a host's process; `Start` begins a new one at the same address.
   void Kill(size_t host);
   void Start(size_t host);
 
-  void SetServer(size_t server);
-  void DropServer(size_t server);
-  void Evacuate(const std::string& data_centre, bool evacuate);
+  void RegisterServer(size_t server);
+  void DeregisterServer(size_t server);
+  void SetEvacuated(const std::string& data_centre, bool evacuated);
 
   /// Returns the leading host, or the number of hosts.
   size_t Leader() const;
 
   /// Returns how many sampled keys a server holds now, in all and at one.
-  size_t CountHeld() const;
-  size_t CountHeldBy(size_t server) const;
+  size_t CountGrantedKeys() const;
+  size_t CountGrantedKeysOf(size_t server) const;
 
   /// Returns how many hosts route a sampled key to a server that holds it.
-  size_t CountRouted(uint32_t sample) const;
+  size_t CountRoutingHosts(uint32_t sample) const;
 
   std::vector<FakeHost> m_hosts;
   std::vector<FakeServer> m_servers;
   bool m_store_down = false;
 
   /// Part of the writes that take effect but are not answered.
-  double m_lost_answers = 0;
+  double m_lost_response_rate = 0;
 
   /// Part of the grants that are not answered and carried out this late.
-  double m_late_grants = 0;
-  Duration m_late_by = std::chrono::seconds(3);
+  double m_late_grant_rate = 0;
+  Duration m_late_grant_delay = std::chrono::seconds(3);
 
   /// Part of the datagrams between hosts that are lost.
-  double m_lost_datagrams = 0;
+  double m_lost_datagram_rate = 0;
 
   /// Reads of the watched tables by all hosts.
-  size_t m_reads = 0;
-  size_t m_double_holds = 0;
+  size_t m_watch_reads = 0;
+  size_t m_double_grants = 0;
   TimePoint m_now = TimePoint() + std::chrono::hours(1);
 
  private:
@@ -127,30 +127,30 @@
   void RunHost(size_t host);
   void DeliverWatches(size_t host);
   void ReadChanges(size_t host, WatchedKind kind);
-  void TakeRows(size_t host, WatchedKind kind, const RowsResult& result);
-  void Carry(size_t host, const ControlCommand& command);
-  void CarryOut(size_t host, const GrantCommand& command);
-  void CarryOut(size_t host, const ReleaseCommand& command);
-  void CarryOut(size_t host, const ReadRowCommand& command);
-  void CarryOut(size_t host, const WriteRowCommand& command);
-  void CarryOut(size_t host, const SendCommand& command);
+  void ApplyRows(size_t host, WatchedKind kind, const RowsResult& result);
+  void ExecuteCommand(size_t host, const ControlCommand& command);
+  void Execute(size_t host, const GrantCommand& command);
+  void Execute(size_t host, const ReleaseCommand& command);
+  void Execute(size_t host, const ReadRowCommand& command);
+  void Execute(size_t host, const WriteRowCommand& command);
+  void Execute(size_t host, const SendCommand& command);
   void Receive(size_t host, const ClusterMessage& message);
-  OrderOutcome Apply(size_t server, const GrantCommand& command);
-  void CheckHolds();
-  void Later(size_t host, Duration delay, std::function<void()> action);
+  OrderOutcome ApplyGrant(size_t server, const GrantCommand& command);
+  void CountDoubleGrants();
+  void Schedule(size_t host, Duration delay, std::function<void()> action);
   bool ReachesStore(size_t host) const;
   size_t ServerAt(const std::string& address) const;
-  void Put(const std::string& table,
-           const std::string& key,
-           const std::string& value,
-           bool removed = false);
+  void PutRow(const std::string& table,
+              const std::string& key,
+              const std::string& value,
+              bool removed = false);
   Now ReadNow() const;
 
-  FakeDirectory m_decoder;
+  FakeDirectoryDecoder m_decoder;
   DirectorySystem m_directory{m_decoder};
   std::map<std::pair<std::string, std::string>, StoredValue> m_rows;
   uint64_t m_version = 0;
-  std::multimap<TimePoint, std::function<void()>> m_later;
+  std::multimap<TimePoint, std::function<void()>> m_scheduled;
   std::minstd_rand m_random;
 };
 
