--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -21,19 +21,20 @@
 using boost::asio::ip::udp;
 using std::chrono::milliseconds;
 
-// A watch tells of changes at once and needs no answer in between; probes tell
-// whether it still hears.
+// A watch returns changes at once and otherwise stays open for this time.
+// Probes detect a watch that no longer receives changes.
 constexpr std::chrono::seconds kWatchTimeout{25};
 
-// Servers register and report one by one.
+// Servers register and report one by one, so their changes are batched.
 constexpr milliseconds kServerBatchDelay{250};
 constexpr milliseconds kClusterBatchDelay{20};
 
-// Pause between looks whether a probe is due, and wait of a probe.
+// Interval between checks whether a probe is due, and timeout of a probe, which
+// returns almost at once without changes.
 constexpr milliseconds kProbeCheckInterval{300};
 constexpr milliseconds kProbeTimeout{1};
 
-// A watch that failed is repeated after a pause between these.
+// A failed watch is retried after a random delay between these.
 constexpr int kMinRetryDelay = 100;  // milliseconds
 constexpr int kMaxRetryDelay = 250;  // milliseconds
 
@@ -125,7 +126,8 @@
 void ControlThread::WatchLoop(WatchedTable& table) {
   while (!m_stopping) {
     if (table.m_loaded && !RelaySystem::MustWatch(m_tables, ReadClocks())) {
-      // Own trouble with the store no longer matters.
+      // The leader relays the changes, so this daemon's own failures to reach
+      // the store no longer matter.
       table.m_failing = false;
       m_watch_needed.WaitUntil(m_tables.m_relayed_until);
     } else if (!WatchOnce(table)) {
@@ -163,7 +165,7 @@
   if (!succeeded) {
     return false;
   }
-  // An answer from before an earlier one would take changes back.
+  // A result older than one already applied would revert changes.
   if (result.m_version < progress.m_read_up_to) {
     return !complete;
   }
@@ -207,8 +209,8 @@
   }
 }
 
-// A watch may have gone silent without notice, and its silence says nothing
-// about how fresh the configuration is.
+// A watch whose connection was lost unnoticed returns no changes, and an open
+// watch doesn't show how fresh the configuration is. Probes check both.
 void ControlThread::ProbeLoop() {
   while (!m_stopping) {
     for (WatchedTable& table : m_watched) {
@@ -254,7 +256,7 @@
   }
 }
 
-// Carries out what systems asked for.
+// Delivers the events, commands, tokens and snapshots that the systems queued.
 void ControlThread::Flush() {
   for (const PendingEvent& event : std::exchange(m_tables.m_events, {})) {
     m_events.Write(event.m_number, event.m_fields);
@@ -268,8 +270,8 @@
   if (std::exchange(m_tables.m_snapshot_due, false)) {
     m_listener.OnSnapshot(BuildSnapshot(m_tables));
   }
-  // Only after the snapshot with what that read brought: a withdrawn key must
-  // not be admitted as freshly known.
+  // The snapshot with the rows of this read must be delivered first: otherwise
+  // a withdrawn API key would be admitted as freshly checked.
   if (m_published_read_at != m_tables.m_operators_read_at) {
     m_published_read_at = m_tables.m_operators_read_at;
     m_listener.OnFreshness(m_published_read_at);
@@ -288,7 +290,8 @@
     m_socket->async_receive_from(boost::asio::buffer(buffer), sender,
                                  wait.Handler());
     if (wait.Wait()) {
-      // A port without a listener at a peer shows here; nothing is lost by it.
+      // The socket reports here that a peer's port has no listener. No datagram
+      // to this daemon is lost.
       SleepBeforeRetry();
       continue;
     }
@@ -380,7 +383,7 @@
     boost::system::error_code failure;
     m_socket->send_to(boost::asio::buffer(bytes), ParseEndpoint(address), 0,
                       failure);
-    // A datagram that was not sent is like one that was lost: the next follows.
+    // A datagram that can't be sent is treated as lost: the next one follows.
   }
 }
 
--- a/src/gateway/control_thread.h
+++ b/src/gateway/control_thread.h
@@ -17,30 +17,33 @@
 
 namespace foxtail {
 
-/// Makes the clients that need the control thread's fibers.
+/// Creates the clients of store and servers on the control thread, as their
+/// calls block its fibers.
 struct ControlClientFactories {
   std::function<std::unique_ptr<TableStore>()> m_make_store;
   std::function<std::unique_ptr<ServerControl>()> m_make_server_control;
 };
 
-/// What the control thread tells others.
+/// Receives the results of the control thread. All methods are called on the
+/// control thread.
 class ControlListener {
  public:
   virtual ~ControlListener() = default;
 
-  /// A new snapshot is to be acted on. Called on the control thread.
+  /// A new routing snapshot replaces the one before.
   virtual void OnSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot) = 0;
 
-  /// All configuration that was acknowledged before this time is in the
-  /// snapshots handed over so far. Called on the control thread.
+  /// The snapshots delivered so far contain all configuration that was
+  /// acknowledged before this time.
   virtual void OnFreshness(BootTime operators_read_at) = 0;
 
-  /// The leader answered a report. Called on the control thread.
+  /// The leader's response to a report arrived, with tokens for the rate limits
+  /// of the workspaces.
   virtual void OnLeaderWord(LeaderWord tokens) = 0;
 };
 
-/// The thread that owns the control tables: watches the store, runs the tick
-/// when something is due, and carries out what the systems ask for.
+/// Thread that owns the control tables: watches the store, runs the systems
+/// when one of them is due, and executes the commands that the systems queue.
 class ControlThread {
  public:
   ControlThread(const GatewaySettings& settings,
@@ -53,13 +56,14 @@
   ControlThread(const ControlThread&) = delete;
   ControlThread& operator=(const ControlThread&) = delete;
 
-  /// Starts the thread, which goes on until the process ends.
+  /// Starts the thread, which runs until the process ends.
   void Start();
 
-  /// Begins a planned stop: a leader gives its lease back.
+  /// Begins a graceful shutdown, in which a leader releases its lease.
   void BeginShutdown();
 
-  /// Takes over demand and load of a traffic thread. Any thread.
+  /// Queues a traffic thread's report of demand and load for the leader. May be
+  /// called on any thread.
   void Report(MemberReport report);
 
  private:
@@ -68,13 +72,12 @@
                                                   bool,
                                                   const Now&) const;
 
-  /// A table that is watched.
   struct WatchedTable {
     WatchedKind m_kind = kOperatorRows;
     std::string m_name;
     ApplyFunction m_apply = nullptr;
 
-    /// Pause after changes, in which more of them gather.
+    /// Delay after changes, so that the next read returns several at once.
     Duration m_batch_delay{};
     bool m_loaded = false;
     bool m_failing = false;
@@ -120,7 +123,7 @@
   Mailbox m_mailbox;
   FiberEvent m_wake;
 
-  /// This daemon must watch the store itself from now on.
+  /// Notified when this daemon must watch the store itself.
   FiberEvent m_watch_needed;
   BootTime m_published_read_at;
   bool m_stopping = false;
--- a/src/gateway/load_targets.cc
+++ b/src/gateway/load_targets.cc
@@ -8,20 +8,21 @@
 namespace foxtail {
 namespace {
 
-// Demand is taken for this much more than measured, so that an ordinary swing
-// does not saturate the fast servers.
+// Factor on the measured demand, so that ordinary variation doesn't saturate
+// the fast servers.
 constexpr double kHeadroom = 1.3;
 
-// Targets are for at least and at most this part of what all servers together
-// can answer: with less, small differences of speed would gather all keys at a
-// few servers; beyond it response times have no meaning.
+// Bounds of the planned utilization of all servers together. Below the minimum,
+// small differences in speed would concentrate all keys at a few servers. Above
+// the maximum, the response time model is meaningless.
 constexpr double kMinUtilization = 0.3;
 constexpr double kMaxUtilization = 0.85;
 
-// Part of an even share that each server keeps, so that its speed stays known.
+// Fraction of an equal share that every server keeps, so that measurements of
+// its speed continue.
 constexpr double kMinShareFraction = 0.1;
 
-// Portions in which demand is dealt out, for each server.
+// Number of equal portions, per server, in which the planned rate is assigned.
 constexpr size_t kPortionsPerServer = 12;
 
 double CapacityOf(const PlannedServer& server) {
@@ -36,8 +37,9 @@
   return total;
 }
 
-// Requests in the server on average, by the approximation of Sakasegawa (1977)
-// for a queue with several slots. The mean response time times the rate.
+// Returns the mean number of requests in the server, running and waiting, which
+// is the mean response time times the rate. Uses the approximation of
+// Sakasegawa (1977) for a queue with several slots.
 double MeanRequestsInServer(const PlannedServer& server, double rate) {
   const double slots = server.m_slots;
   const double utilization = rate * server.m_service_seconds / slots;
@@ -65,8 +67,8 @@
   const double planned_rate =
       std::clamp(demand * kHeadroom, capacity * kMinUtilization,
                  capacity * kMaxUtilization);
-  // Each portion goes where it adds least. The sum to be minimized is convex,
-  // so this finds the least sum.
+  // Each portion goes to the server with the lowest marginal cost. The cost is
+  // convex, so this greedy assignment minimizes the total.
   const size_t portions = servers.size() * kPortionsPerServer;
   const double portion = planned_rate / static_cast<double>(portions);
   std::vector<double> rates(servers.size(), 0);
--- a/src/gateway/range_placement_system.cc
+++ b/src/gateway/range_placement_system.cc
@@ -11,20 +11,21 @@
 namespace foxtail {
 namespace {
 
-// Below this rate the counts say nothing about which keys are busy.
-constexpr double kMinSignificantRate = 20;  // requests a second
+// Below this rate the request counts don't show which keys are hot.
+constexpr double kMinSignificantRate = 20;  // requests per second
 
-// Counts are smoothed over this time. A busy key shows after about half of it.
+// Time constant of the exponential smoothing of request counts. A hot key shows
+// after about half of this time.
 constexpr std::chrono::milliseconds kSmoothingTimeConstant{1500};
 
-// Pause between two steps of the smoothing: that between reports.
+// Interval between two smoothing steps, equal to the period of the reports.
 constexpr std::chrono::milliseconds kSmoothingInterval{400};
 
-// Bounds of a server's measured time relative to the usual of its service.
+// Bounds of a server's service time, relative to the mean of its service.
 constexpr double kMinServiceTimeFactor = 0.4;
 constexpr double kMaxServiceTimeFactor = 2.5;
 
-// Time of a request at a server while none is measured, seconds.
+// Service time to plan with while no server of the service is measured.
 constexpr double kDefaultServiceSeconds = 0.1;
 
 void SmoothLoads(ServiceRow& service, const Now& now) {
@@ -44,7 +45,7 @@
   }
 }
 
-// Returns the means over the servers of a service that are known.
+// Returns the means over those servers of a service that have measurements.
 SpeedEstimate MeanSpeed(const GatewayTables& tables,
                         const std::string& service) {
   SpeedEstimate mean;
@@ -63,7 +64,8 @@
   return mean;
 }
 
-// Returns the servers that may own keys, without their targets.
+// Returns the servers that may receive keys; targets are not set. Cold servers
+// are returned only if there are no others.
 std::vector<PlannedServer> FindCandidates(const GatewayTables& tables,
                                           const std::string& service,
                                           const Now& now) {
@@ -94,7 +96,8 @@
   if (demand < kMinSignificantRate) {
     return {};
   }
-  // Exponential smoothing counts for twice its time constant.
+  // An exponentially smoothed rate is as precise as a count over twice the time
+  // constant.
   return {service.m_loads, demand * 2 * ToSeconds(kSmoothingTimeConstant)};
 }
 
@@ -114,13 +117,14 @@
       collected.m_ids.push_back(id);
     }
   });
-  // Plans are in order of keys, and are compared with these.
+  // Plans are sorted by key, and ApplyPlan compares plans with these ranges.
   std::ranges::sort(collected.m_ids, {}, [&tables](RangeId id) {
     return tables.m_ranges.Get(id).m_range;
   });
   for (const RangeId id : collected.m_ids) {
     const RangeRow& row = tables.m_ranges.Get(id);
-    // A range on its way to a server that is lost as well starts again.
+    // A range that is moving to a server that may no longer own keys needs a
+    // new owner.
     const bool kept = row.m_phase != RangePhase::kUnowned &&
                       MayKeepKeys(tables, row.m_owner, now);
     collected.m_has_move =
@@ -167,8 +171,7 @@
   return row;
 }
 
-// Rows whose plan is unchanged stay as they are. The others are replaced by
-// their pieces.
+// Replaces each range whose plan differs by one row for each planned piece.
 void ApplyPlan(GatewayTables& tables,
                ServiceId service_id,
                const ServiceRanges& ranges,
@@ -188,7 +191,7 @@
       continue;
     }
     if (whole.m_busy) {
-      continue;  // an order about it is on its way; planned again after it
+      continue;  // a server call is in flight; a later tick plans this range
     }
     tables.m_ranges.Erase(ranges.m_ids[i]);
     for (const PlannedRange& piece : pieces) {
@@ -209,7 +212,7 @@
   service.m_dirty = service.m_dirty || changed;
 }
 
-// Before any owner is known all keys form one range without an owner.
+// Adds the first range of a service: all keys, without an owner.
 void AddInitialRange(GatewayTables& tables, ServiceId service, const Now& now) {
   RangeRow row;
   row.m_service = service;
@@ -219,9 +222,9 @@
   tables.m_ranges.Insert(std::move(row));
 }
 
-// Most ticks follow an answered order and change no owner, so targets and
-// weights are worked out only when a range or a server is without the other, or
-// relief is due.
+// Most ticks follow the result of a server call and change no owner. Targets
+// and weights are therefore computed only when a range has no owner, a server
+// has no range or rebalancing is due.
 void PlaceService(GatewayTables& tables, ServiceId id, const Now& now) {
   static const ResponseTimeTargets targets;
   static const FillPlanner fill;
@@ -229,7 +232,7 @@
   ServiceRow& service = tables.m_services.Get(id);
   SmoothLoads(service, now);
   if (service.m_busy) {
-    return;  // the record's number is taken
+    return;  // a write in flight uses the next record number
   }
   ServiceRanges ranges = CollectRanges(tables, id, now);
   std::vector<PlannedServer> servers =
--- a/src/gateway/range_placement_system.h
+++ b/src/gateway/range_placement_system.h
@@ -4,14 +4,16 @@
 
 namespace foxtail {
 
-/// At the leader: decides which server should own which keys, and starts the
-/// moves. Decides nothing while a move of the service goes on.
+/// Runs at the leader: decides which server should own which key ranges and
+/// starts the moves. While ranges of a service are moving, the system plans
+/// again for this service only if a range has lost its owner.
 class RangePlacementSystem {
  public:
   static void Run(GatewayTables& tables, const Now& now);
 };
 
-/// Returns whether a server may keep the keys that it owns.
+/// Returns whether a server may keep its keys: the server is eligible, and
+/// calls to it have not been failing for as long as the unreachable timeout.
 bool MayKeepKeys(const GatewayTables& tables,
                  const std::string& server,
                  const Now& now);
--- a/src/gateway/range_planner.cc
+++ b/src/gateway/range_planner.cc
@@ -6,35 +6,37 @@
 namespace foxtail {
 namespace {
 
-// Pieces smaller than this part of an even share are not split off, so that
-// the number of ranges stays small.
+// Smallest piece that is split off, as a fraction of an equal share. The bound
+// keeps the number of ranges small.
 constexpr double kMinPieceFraction = 0.15;
 
-// An empty server takes pieces of at least this part of an even share: smaller
-// ones from more servers would multiply the grants to be renewed.
+// Smallest piece to look for when a server without load is filled, as a
+// fraction of an equal share. Smaller pieces from more servers would multiply
+// the grants that must be renewed.
 constexpr double kMinFillPieceFraction = 0.4;
 
-// An empty server is filled up to this part of its target; more would only move
-// keys that the next change moves back.
+// A server without load is filled up to this fraction of its target. Beyond it,
+// keys would move that the next change moves back.
 constexpr double kFillTargetFraction = 0.85;
 
-// A server is relieved when its load is over its target by this factor.
+// Keys are moved off a server whose load exceeds its target by this factor.
 constexpr double kOverloadFactor = 1.3;
 
-// A busy slice may fill its new server beyond the target if its old one's level
-// was above the new one's by this factor.
+// A hot slice may load the receiver beyond its target if the donor's
+// utilization before the move exceeds the receiver's after it by this factor.
 constexpr double kHotSliceMinGain = 1.3;
 
-// Moves in one plan. Each holds up requests for its keys for a moment; all of
-// one plan are recorded together.
+// Each move pauses requests for its keys for a moment. All moves of one plan
+// are recorded in the store together.
 constexpr uint32_t kMaxMovesPerPlan = 8;
 
+// Target and load are shares of the service's requests, as in PlannedServer.
 struct ServerLoad {
   double m_target = 0;
   double m_load = 0;
   uint32_t m_range_count = 0;
 
-  /// Load relative to the target.
+  /// Returns the load relative to the target.
   double Utilization() const { return m_load / m_target; }
   double Headroom() const { return m_target - m_load; }
 };
@@ -80,9 +82,9 @@
   return (slice + 1) * kKeysPerSlice - 1;
 }
 
-// Returns the last key of the longest beginning of a range, in whole slices,
-// that weighs at most `limit`, but of one slice at least. Slices are not cut:
-// which of a slice's keys is busy is not known.
+// Returns the last key of the longest prefix of a range, in whole slices, whose
+// share is at most `limit`. The prefix has at least one slice. Slices are not
+// split, because load is counted by slice and not by key.
 uint32_t FindPrefixEnd(const KeyRange& range,
                        double limit,
                        const SliceWeights& weights) {
@@ -100,7 +102,7 @@
   return std::min(LastKeyOf(shortest), range.m_last);
 }
 
-// Gives a range away in pieces that fit the receivers' room.
+// Splits a range into pieces that fit the receivers' headroom.
 void AssignInPieces(const KeyRange& range,
                     ServerLoads& loads,
                     const SliceWeights& weights,
@@ -126,15 +128,15 @@
   }
 }
 
-// Keys of one range that may be given away.
+// A part of one range that may move to another server.
 struct MoveCandidate {
   size_t m_index = 0;
   KeyRange m_keys;
-  double m_weight = 0;
+  double m_share = 0;
 };
 
-// Returns the end of a range, in whole slices, that weighs at most `limit`, but
-// of one slice at least.
+// Returns the longest suffix of a range, in whole slices, whose share is at
+// most `limit`. The suffix has at least one slice.
 KeyRange FindSuffix(const KeyRange& range,
                     double limit,
                     const SliceWeights& weights) {
@@ -155,20 +157,21 @@
   return suffix_from(shortest);
 }
 
-// Returns the longest piece that begins with the range's heaviest slice and
-// weighs at most `limit`, but of one slice at least.
+// Returns the longest part of a range, in whole slices, that begins with the
+// slice of the largest share and has a share of at most `limit`. The part has
+// at least one slice.
 KeyRange FindHotPart(const KeyRange& range,
                      double limit,
                      const SliceWeights& weights) {
   KeyRange hottest;
-  double max_weight = -1;
+  double max_share = -1;
   for (uint32_t slice = SliceOf(range.m_first); slice <= SliceOf(range.m_last);
        ++slice) {
     const KeyRange keys{std::max(range.m_first, slice * kKeysPerSlice),
                         std::min(range.m_last, LastKeyOf(slice))};
-    const double weight = weights.ShareOf(keys);
-    if (weight > max_weight) {
-      max_weight = weight;
+    const double share = weights.ShareOf(keys);
+    if (share > max_share) {
+      max_share = share;
       hottest = keys;
     }
   }
@@ -176,9 +179,9 @@
   return {suffix.m_first, FindPrefixEnd(suffix, limit, weights)};
 }
 
-// Returns the heaviest piece of the donor's ranges that the receiver has room
-// for. A busy slice that is more than there is room for may go if it is clearly
-// better off there. Of no weight if there is none.
+// Returns the part of the donor's ranges with the largest share within `limit`.
+// A hot slice above the limit may move if the receiver's utilization with the
+// slice is clearly below the donor's. The share is 0 if nothing can move.
 MoveCandidate FindMoveCandidate(const std::vector<PlannedRange>& ranges,
                                 const std::string& donor,
                                 const ServerLoad& donor_load,
@@ -191,26 +194,26 @@
     if (ranges[i].m_owner != donor) {
       continue;
     }
-    const KeyRange head{whole.m_first, FindPrefixEnd(whole, limit, weights)};
-    for (const KeyRange& keys : {head, FindSuffix(whole, limit, weights),
+    const KeyRange prefix{whole.m_first, FindPrefixEnd(whole, limit, weights)};
+    for (const KeyRange& keys : {prefix, FindSuffix(whole, limit, weights),
                                  FindHotPart(whole, limit, weights)}) {
-      const double weight = weights.ShareOf(keys);
+      const double share = weights.ShareOf(keys);
       const double utilization_after =
-          (receiver_load.m_load + weight) / receiver_load.m_target;
+          (receiver_load.m_load + share) / receiver_load.m_target;
       const bool fits =
-          weight <= limit && (keys != whole || donor_load.m_range_count > 1);
+          share <= limit && (keys != whole || donor_load.m_range_count > 1);
       if ((fits ||
            utilization_after * kHotSliceMinGain < donor_load.Utilization()) &&
-          weight > best.m_weight) {
-        best = {i, keys, weight};
+          share > best.m_share) {
+        best = {i, keys, share};
       }
     }
   }
   return best;
 }
 
-// Gives a piece of the donor's keys away. Returns its weight; 0 when there is
-// none to give.
+// Moves a part of the donor's keys to the receiver. Returns the share moved, or
+// 0 if nothing can move.
 double MovePiece(std::vector<PlannedRange>& ranges,
                  ServerLoads& loads,
                  const std::string& donor,
@@ -221,7 +224,7 @@
   ServerLoad& receiver_load = loads.at(receiver);
   const MoveCandidate move = FindMoveCandidate(ranges, donor, donor_load,
                                                receiver_load, limit, weights);
-  if (move.m_weight <= 0) {
+  if (move.m_share <= 0) {
     return 0;
   }
   const KeyRange whole = ranges[move.m_index].m_range;
@@ -236,9 +239,9 @@
     ++donor_load.m_range_count;
   }
   ++receiver_load.m_range_count;
-  donor_load.m_load -= move.m_weight;
-  receiver_load.m_load += move.m_weight;
-  return move.m_weight;
+  donor_load.m_load -= move.m_share;
+  receiver_load.m_load += move.m_share;
+  return move.m_share;
 }
 
 void FillEmptyServers(std::vector<PlannedRange>& ranges,
@@ -249,7 +252,7 @@
     if (load.m_load > 0) {
       continue;
     }
-    // Less than the smallest piece is not worth a range of its own.
+    // A remainder below the smallest piece doesn't justify another range.
     while (load.m_load == 0 || target - load.m_load > MinPieceShare(loads)) {
       const auto donor = LeastHeadroom(loads);
       const double limit = std::min(
@@ -264,16 +267,16 @@
   }
 }
 
-// Returns how far a server's load is over its target beyond what is usual or
-// due to chance.
+// Returns how far a server's load is above its target, less the larger of the
+// tolerated overload and the uncertainty of the measurement.
 double ExcessLoad(const ServerLoad& load, const SliceWeights& weights) {
   const double tolerance = load.m_target * (kOverloadFactor - 1);
   return -load.Headroom() -
          std::max(tolerance, weights.Uncertainty(load.m_target));
 }
 
-// Moves one piece from the fullest server to the emptiest. Returns whether that
-// was worth it.
+// Moves one piece from the most overloaded server to the one with the most
+// headroom. Returns whether a piece was moved.
 bool MoveFromOverloaded(std::vector<PlannedRange>& ranges,
                         ServerLoads& loads,
                         const SliceWeights& weights) {
@@ -294,7 +297,7 @@
                    weights) > 0;
 }
 
-void Sort(std::vector<PlannedRange>& ranges) {
+void SortByKey(std::vector<PlannedRange>& ranges) {
   std::ranges::sort(ranges, {}, &PlannedRange::m_range);
 }
 
@@ -317,7 +320,7 @@
     }
   }
   FillEmptyServers(plan, loads, weights);
-  Sort(plan);
+  SortByKey(plan);
   return plan;
 }
 
@@ -334,7 +337,7 @@
       break;
     }
   }
-  Sort(ranges);
+  SortByKey(ranges);
   return ranges;
 }
 
--- a/src/gateway/range_planner.h
+++ b/src/gateway/range_planner.h
@@ -8,7 +8,7 @@
 
 namespace foxtail {
 
-/// A range with its present owner, or none when it must be given away.
+/// A range and its owner; the owner is empty if the range needs a new one.
 struct PlannedRange {
   KeyRange m_range;
   std::string m_owner;
@@ -16,23 +16,24 @@
   bool operator==(const PlannedRange&) const = default;
 };
 
-/// Deals key ranges out to servers. The strategies differ in the load that they
-/// answer.
+/// Assigns key ranges to servers. Each strategy is suited to another kind of
+/// load.
 class RangePlanner {
  public:
   virtual ~RangePlanner() = default;
 
-  /// Returns the ranges as they should be owned. Ranges without an owner must
-  /// all be given away; others may be split and given away in part.
+  /// Returns the planned owners of all keys, sorted by key. Every range without
+  /// an owner must be assigned; other ranges may be split and moved in part.
   virtual std::vector<PlannedRange> Plan(
       std::vector<PlannedRange> ranges,
       const std::vector<PlannedServer>& servers,
       const SliceWeights& weights) const = 0;
 };
 
-/// Load pattern: servers come and go under even load. Gives every orphaned
-/// range, in pieces, to the servers with most room below their targets, and
-/// fills empty servers from the fullest. Moves nothing else.
+/// Suited to servers that register and deregister under even load. Splits every
+/// range without an owner among the servers with the most headroom below their
+/// targets, and fills servers without load from those with the least headroom.
+/// Moves nothing else.
 class FillPlanner : public RangePlanner {
  public:
   std::vector<PlannedRange> Plan(std::vector<PlannedRange> ranges,
@@ -40,9 +41,9 @@
                                  const SliceWeights& weights) const override;
 };
 
-/// Load pattern: busy keys next to one another that change over the day. Moves
-/// pieces from the servers that are furthest above their targets, beyond what
-/// chance explains, to those that are furthest below.
+/// Suited to adjacent hot keys that change over the day. Moves pieces of ranges
+/// from the servers that are furthest above their targets, by more than random
+/// variation explains, to the servers that are furthest below.
 class RebalancePlanner : public RangePlanner {
  public:
   std::vector<PlannedRange> Plan(std::vector<PlannedRange> ranges,
--- a/src/gateway/slice_weights.cc
+++ b/src/gateway/slice_weights.cc
@@ -6,11 +6,11 @@
 namespace foxtail {
 namespace {
 
-// Part of the weight that is spread evenly over all keys.
+// Fraction of the weight that is spread evenly over all keys.
 constexpr double kUniformFraction = 0.2;
 
-// Standard deviations by which a count is taken to be off: one server in
-// hundreds then looks busier than it is.
+// Number of standard deviations that counts as random variation. Only one
+// server in hundreds then appears more loaded than it is.
 constexpr double kDeviations = 2.5;
 
 }  // namespace
--- a/src/gateway/slice_weights.h
+++ b/src/gateway/slice_weights.h
@@ -8,9 +8,9 @@
 
 namespace foxtail {
 
-/// Shard keys of a service, and slices of equal width in which load is counted.
-/// A slice is narrow enough that a few dozen busy keys next to one another lie
-/// in several, which can then be given to several servers.
+/// Number of shard keys of a service, and of the slices of equal width by which
+/// load is counted. A slice is narrow enough that a few dozen adjacent hot keys
+/// span several slices, which several servers can then own.
 inline constexpr uint32_t kShardKeys = 65536;
 inline constexpr uint32_t kSlices = 8192;
 inline constexpr uint32_t kKeysPerSlice = kShardKeys / kSlices;
@@ -18,24 +18,25 @@
 /// Expected share of a service's requests for each slice of keys.
 class SliceWeights {
  public:
-  /// All keys alike.
+  /// Gives all keys equal weight.
   SliceWeights();
 
-  /// `rates` holds a relative figure for each slice; `samples` is the number of
-  /// requests that it was measured by. A part of the weight is spread evenly,
-  /// because which keys are busy changes.
+  /// `rates` holds the relative request rate of each slice; `samples` is the
+  /// number of requests behind the measurement. A fraction of the weight is
+  /// spread evenly, because the hot keys change.
   SliceWeights(std::span<const float> rates, double samples);
 
-  /// Returns the share of the keys in a range; 1 for all keys.
+  /// Returns the expected share of the requests for a range; 1 for all keys.
   double ShareOf(const KeyRange& range) const;
 
-  /// Returns how far a measured share is likely to be off by chance.
+  /// Returns the likely random error of a measured share; 0 without samples.
   double Uncertainty(double share) const;
 
  private:
   double CumulativeShare(uint32_t key) const;
 
-  /// Sum of the shares before each slice, and of all at the end.
+  /// Sum of the shares of all slices before each slice; the last element is the
+  /// total.
   std::vector<double> m_cumulative;
   double m_samples = 0;
 };
--- a/src/gateway/speed_estimate.cc
+++ b/src/gateway/speed_estimate.cc
@@ -5,12 +5,13 @@
 namespace foxtail {
 namespace {
 
-// Older answers count for no more than this many, so that a server that has
-// become faster or slower shows.
+// Bound on the effective number of responses, so that the estimate follows a
+// server that becomes faster or slower.
 constexpr double kMaxResponses = 25;
 
-// Answers that what is otherwise known stands for. The time of one request
-// varies as much as its mean; the slowdown that servers tell varies less.
+// Number of responses that the prior counts for. The standard deviation of a
+// request's time is about as large as its mean; the slowdown that servers
+// report varies less.
 constexpr double kPriorSecondsWeight = 8;
 constexpr double kPriorSlowdownWeight = 2;
 
--- a/src/gateway/speed_estimate.h
+++ b/src/gateway/speed_estimate.h
@@ -2,23 +2,25 @@
 
 namespace foxtail {
 
-/// How fast a backend server answers, from members' reports.
+/// Estimate of how fast a backend server responds, from the members' reports.
 struct SpeedEstimate {
-  /// Mean time of a request that found a free slot, seconds; 0 if not known.
+  /// Mean time of a request that found a free slot, in seconds; 0 without
+  /// measurements.
   double m_service_seconds = 0;
 
-  /// Mean of how long work takes there relative to usual, as the server says;
-  /// 0 if it does not.
+  /// Mean of the slowdown factor that the server reports about itself: the time
+  /// that its work takes relative to normal; 0 if the server reports none.
   double m_slowdown = 0;
 
-  /// Answers that the means stand for.
+  /// Effective number of responses behind the means.
   double m_responses = 0;
 
-  /// Takes in the means of some more answers. A slowdown of 0 is not known.
+  /// Records the means of further responses. A slowdown of 0 means that the
+  /// server reported none.
   void Add(double responses, double service_seconds, double slowdown);
 
-  /// Returns the time to plan with, given the means over the service's servers.
-  /// Few answers say little, so they count less than what is usual.
+  /// Returns the service time to plan with, in seconds. `prior` holds the means
+  /// over the service's servers, which outweigh a small number of responses.
   double ExpectedServiceSeconds(const SpeedEstimate& prior) const;
 };
 
--- a/tests/gateway/load_targets_test.cc
+++ b/tests/gateway/load_targets_test.cc
@@ -7,8 +7,8 @@
 namespace foxtail {
 namespace {
 
-// The speeds of a deployment with two slots a server: two thirds of the servers
-// are fast, the others take over twice as long.
+// Returns servers as in a deployment with two slots per server, where two
+// thirds are fast and the others take more than twice as long.
 std::vector<PlannedServer> MakeUnequalServers() {
   std::vector<PlannedServer> servers;
   for (size_t i = 0; i < 27; ++i) {
@@ -33,9 +33,9 @@
                          });
 }
 
-// Load pattern: a calm day, where the fast servers could do all the work. The
-// baseline fills every server to the same part of its capacity.
-TEST(LoadTargetsTest, SlowServersGetLittleOnACalmDay) {
+// Demand is so low that the fast servers could handle all requests. The
+// baseline gives every server the same utilization.
+TEST(LoadTargetsTest, SlowServersGetSmallSharesAtLowDemand) {
   std::vector<PlannedServer> baseline = MakeUnequalServers();
   CapacityTargets().SetTargets(baseline, 150);
   std::vector<PlannedServer> targets = MakeUnequalServers();
@@ -47,8 +47,8 @@
   EXPECT_GT(targets[0].m_target, 0);
 }
 
-// Load pattern: demand beyond what all servers bear. Then only capacity counts.
-TEST(LoadTargetsTest, AllServersWorkWhenDemandIsHigh) {
+// Demand exceeds the capacity of all servers, so only capacity matters.
+TEST(LoadTargetsTest, SharesFollowCapacityAtHighDemand) {
   std::vector<PlannedServer> baseline = MakeUnequalServers();
   CapacityTargets().SetTargets(baseline, 1000);
   std::vector<PlannedServer> targets = MakeUnequalServers();
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(LoadTargetsTest, NoDemandIsSharedByCapacity) {
+TEST(LoadTargetsTest, TargetsAddUpToOneWithoutDemand) {
   std::vector<PlannedServer> servers = MakeUnequalServers();
   ResponseTimeTargets().SetTargets(servers, 0);
   EXPECT_NEAR(TotalTarget(servers), 1, 1e-6);
--- a/tests/gateway/range_planner_test.cc
+++ b/tests/gateway/range_planner_test.cc
@@ -7,7 +7,7 @@
 namespace foxtail {
 namespace {
 
-// Servers of one speed with even targets.
+// Returns servers of equal speed with equal targets.
 std::vector<PlannedServer> MakeServers(size_t count) {
   std::vector<PlannedServer> servers;
   for (size_t i = 0; i < count; ++i) {
@@ -17,7 +17,8 @@
   return servers;
 }
 
-// The first slices get a part of the requests, the others the rest.
+// Spreads `hot_share` of the requests over the first `slices` slices and the
+// rest over the others.
 SliceWeights HotPrefix(uint32_t slices, double hot_share, double samples) {
   std::vector<float> rates(kSlices);
   for (uint32_t i = 0; i < kSlices; ++i) {
@@ -37,7 +38,7 @@
   return load;
 }
 
-// The ranges cover all keys once, in order.
+// Expects that the ranges cover every key exactly once, sorted, with owners.
 void ExpectCover(const std::vector<PlannedRange>& ranges) {
   uint32_t next = 0;
   for (const PlannedRange& range : ranges) {
@@ -48,7 +49,7 @@
   EXPECT_EQ(next, kShardKeys);
 }
 
-TEST(RangePlannerTest, OrphansAreSpreadOverTheServersWithRoom) {
+TEST(RangePlannerTest, RangesWithoutOwnerAreSpreadByHeadroom) {
   const SliceWeights weights;
   const auto servers = MakeServers(6);
   const auto plan =
@@ -59,7 +60,7 @@
   }
 }
 
-TEST(RangePlannerTest, NothingMovesWithoutNeed) {
+TEST(RangePlannerTest, BalancedPlanStaysUnchanged) {
   const SliceWeights weights;
   const auto servers = MakeServers(6);
   const auto plan =
@@ -68,7 +69,7 @@
   EXPECT_EQ(RebalancePlanner().Plan(plan, servers, weights), plan);
 }
 
-TEST(RangePlannerTest, AnEmptyServerIsFilledFromTheFullest) {
+TEST(RangePlannerTest, ServerWithoutLoadIsFilled) {
   const SliceWeights weights;
   const auto five =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, MakeServers(5), weights);
@@ -77,23 +78,24 @@
   EXPECT_GT(LoadOf(plan, "server-5", weights), 0.1);
 }
 
-// Found on a day with hundreds of servers that came one by one: each was filled
-// by one piece and a slice, which doubled the number of ranges to be renewed.
-TEST(RangePlannerTest, ServersThatComeOneByOneGetFewRanges) {
+// Regression test: when hundreds of servers registered one by one, each was
+// filled by one piece and a single slice, which doubled the number of ranges to
+// renew.
+TEST(RangePlannerTest, ServersRegisteringOneByOneGetFewRanges) {
   const SliceWeights weights;
   std::vector<PlannedRange> plan = {{{0, kShardKeys - 1}, ""}};
   for (size_t count = 1; count <= 60; ++count) {
     plan = FillPlanner().Plan(plan, MakeServers(count), weights);
   }
   ExpectCover(plan);
-  // A leader with half a core and hundreds of servers spends a third of it on
-  // renewals at three ranges a server, 0.25 ms an order.
+  // With hundreds of servers, three ranges per server and 0.25 ms per grant
+  // call, a leader with half a core spends a third of it on renewals.
   EXPECT_LE(plan.size(), 3 * 60U);
 }
 
-// Load pattern: busy keys next to one another at one server. The baseline moves
-// nothing.
-TEST(RangePlannerTest, BusyKeysAreRelieved) {
+// Adjacent hot keys are all owned by one server. FillPlanner, the baseline,
+// moves nothing.
+TEST(RangePlannerTest, HotKeysAreMovedOffTheirServer) {
   const auto servers = MakeServers(4);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
@@ -106,9 +108,9 @@
   EXPECT_LT(LoadOf(plan, hot_server, weights), before * 0.6);
 }
 
-// Load pattern of the calm day: 42 of 100 requests are for 60 keys next to one
-// another, more than any one server answers.
-TEST(RangePlannerTest, SixtyBusyKeysAreSpreadOverSeveralServers) {
+// At low demand, 42% of the requests are for 60 adjacent keys, which is more
+// than any single server can handle.
+TEST(RangePlannerTest, SixtyHotKeysAreSpreadOverSeveralServers) {
   const auto servers = MakeServers(27);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
@@ -125,16 +127,16 @@
   EXPECT_LT(max_load, 0.42 / 4);
 }
 
-TEST(RangePlannerTest, WhatChanceExplainsMovesNothing) {
+TEST(RangePlannerTest, RandomVariationMovesNothing) {
   const auto servers = MakeServers(20);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
-  // Twice the even load at one server, known by five requests in all.
+  // One server has twice the equal share, measured by only five requests.
   const SliceWeights weights = HotPrefix(kSlices / 20, 0.1, 5);
   EXPECT_EQ(RebalancePlanner().Plan(start, servers, weights), start);
 }
 
-TEST(RangePlannerTest, OneBusySliceGoesToTheStrongestServer) {
+TEST(RangePlannerTest, OneHotSliceMovesToTheLargestTarget) {
   const SliceWeights weights = HotPrefix(1, 0.8, 1000);
   std::vector<PlannedServer> servers = MakeServers(3);
   servers[0].m_target = 0.2;
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -115,7 +115,7 @@
   fake.m_tables.m_self = {HostAddress(host), std::to_string(fake.m_incarnation),
                           "dc-0", fake.m_processor_share};
   fake.m_tables.m_started = m_now;
-  fake.m_next_report = m_now;
+  fake.m_next_report_at = m_now;
 }
 
 void GatewayWorld::Run(Duration duration) {
@@ -143,8 +143,8 @@
 void GatewayWorld::RunHost(size_t host) {
   FakeHost& fake = m_hosts[host];
   DeliverWatches(host);
-  if (m_now >= fake.m_next_report) {
-    fake.m_next_report = m_now + fake.m_tables.m_settings.m_report_period;
+  if (m_now >= fake.m_next_report_at) {
+    fake.m_next_report_at = m_now + fake.m_tables.m_settings.m_report_period;
     MemberReport report;
     report.m_loads = fake.m_loads;
     MemberSystem::SendReport(fake.m_tables, std::move(report), ReadNow());
@@ -176,8 +176,7 @@
   }
 }
 
-// Stands for a watch, which answers at once when there are changes, and for a
-// probe.
+// Simulates a watch, which returns at once when there are changes, and a probe.
 void GatewayWorld::ReadChanges(size_t host, WatchedKind kind) {
   GatewayTables& tables = m_hosts[host].m_tables;
   WatchProgress& progress = tables.m_progress[kind];
@@ -215,7 +214,7 @@
   }
 }
 
-// Results reach only the process that asked.
+// A result is dropped if the requesting process has ended.
 void GatewayWorld::Schedule(size_t host,
                             Duration delay,
                             std::function<void()> action) {
@@ -263,7 +262,7 @@
   std::uniform_real_distribution<double> chance(0, 1);
   OrderOutcome outcome = OrderOutcome::kUnknown;
   if (reached && chance(m_random) < m_late_grant_rate) {
-    // Its time counts from its arrival, so what is left of it is applied.
+    // The TTL counts from the call's arrival, so the rest of it is applied.
     GrantCommand late = command;
     late.m_hold -= m_late_grant_delay;
     m_scheduled.emplace(m_now + m_late_grant_delay,
@@ -392,11 +391,11 @@
 }
 
 void GatewayWorld::CountDoubleGrants() {
+  // A grant with a TTL of 1 ms only raises the fencing token at the server. The
+  // check looks half a step ahead, so that such a grant has expired.
   for (uint32_t sample = 0; sample < kSampledKeys; ++sample) {
-    const auto owners = std::ranges::count_if(
-        m_servers,
-        [&](const FakeServer& server) {  // Grants of a millisecond only carry a
-                                         // token and count for nothing.
+    const auto owners =
+        std::ranges::count_if(m_servers, [&](const FakeServer& server) {
           return server.HasGrant(sample, m_now + kStep / 2);
         });
     m_double_grants += owners > 1 ? 1 : 0;
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -14,7 +14,7 @@
 
 namespace foxtail {
 
-/// Fake of the rows that operators and servers write: fields separated by
+/// Decodes fake rows of operators and servers, whose fields are separated by
 /// spaces.
 class FakeDirectoryDecoder : public DirectoryDecoder {
  public:
@@ -27,7 +27,7 @@
                                   const std::string& value) const override;
 };
 
-/// Keys that the fakes look at: one in each 64th of the key space.
+/// Number of sampled keys, evenly spaced, for which the fakes track grants.
 inline constexpr uint32_t kSampledKeys = 64;
 
 /// Fake of a backend server that enforces its grants.
@@ -37,7 +37,7 @@
   bool m_draining = false;
   int64_t m_incarnation = 1;
 
-  /// Hosts that cannot reach it.
+  /// Hosts that cannot reach this server.
   std::set<size_t> m_unreachable_from;
 
   struct Grant {
@@ -52,66 +52,71 @@
   }
 };
 
-/// Fake of one gateway host: real control decisions, no input or output.
+/// Fake of one gateway host: runs the real control systems without input or
+/// output.
 struct FakeHost {
   GatewayTables m_tables;
   bool m_up = true;
   double m_processor_share = 1;
 
-  /// The store refuses this host, or neither end hears the other.
+  /// The host gets no response from the store and doesn't change any row.
   bool m_store_unreachable = false;
 
-  /// Cut off from the other hosts.
+  /// Datagrams to and from the other hosts are lost.
   bool m_isolated = false;
   uint64_t m_incarnation = 0;
-  TimePoint m_next_report;
+  TimePoint m_next_report_at;
 
-  /// Loads that its reports tell.
+  /// Loads that the host's reports contain.
   std::vector<ServiceLoad> m_loads;
 };
 
-/// Several hosts, servers and the store on a hand-written clock, in steps of
-/// 10 ms. Checks in each step that no key has two holders.
+/// Simulates several hosts, servers and the store on a simulated clock, in
+/// steps of 10 ms. Checks in each step that no sampled key is granted to two
+/// servers.
 class GatewayWorld {
  public:
   GatewayWorld(size_t hosts, size_t servers, uint32_t seed = 1);
 
-  /// Goes on for a time. Failed checks are counted in `m_double_grants`.
+  /// Advances the simulation by `duration`. Failed checks are counted in
+  /// `m_double_grants`.
   void Run(Duration duration);
 
-  /// Ends a host's process; `Start` begins a new one at the same address.
+  /// Ends a host's process. `Start` starts a new one at the same address.
   void Kill(size_t host);
   void Start(size_t host);
 
+  /// Writes a server's registration with its current fields.
   void RegisterServer(size_t server);
   void DeregisterServer(size_t server);
   void SetEvacuated(const std::string& data_centre, bool evacuated);
 
-  /// Returns the leading host, or the number of hosts.
+  /// Returns the index of the leader, or the number of hosts if there is none.
   size_t Leader() const;
 
-  /// Returns how many sampled keys a server holds now, in all and at one.
+  /// Return how many sampled keys are granted now, to all servers and to one.
   size_t CountGrantedKeys() const;
   size_t CountGrantedKeysOf(size_t server) const;
 
-  /// Returns how many hosts route a sampled key to a server that holds it.
+  /// Returns how many hosts route a sampled key to a server that has its grant.
   size_t CountRoutingHosts(uint32_t sample) const;
 
   std::vector<FakeHost> m_hosts;
   std::vector<FakeServer> m_servers;
   bool m_store_down = false;
 
-  /// Part of the writes that take effect but are not answered.
+  /// Fraction of the writes that take effect but whose response is lost.
   double m_lost_response_rate = 0;
 
-  /// Part of the grants that are not answered and carried out this late.
+  /// Fraction of the grant calls that time out and still take effect after the
+  /// delay.
   double m_late_grant_rate = 0;
   Duration m_late_grant_delay = std::chrono::seconds(3);
 
-  /// Part of the datagrams between hosts that are lost.
+  /// Fraction of the datagrams between hosts that are lost.
   double m_lost_datagram_rate = 0;
 
-  /// Reads of the watched tables by all hosts.
+  /// Reads of the watched tables that returned rows, by all hosts.
   size_t m_watch_reads = 0;
   size_t m_double_grants = 0;
   TimePoint m_now = TimePoint() + std::chrono::hours(1);
