--- a/tests/gateway/range_planner_test.cc
+++ b/tests/gateway/range_planner_test.cc
@@ -7,8 +7,8 @@
 namespace foxtail {
 namespace {
 
-// Servers of one speed with even targets.
-std::vector<PlannedServer> Servers(size_t count) {
+// Returns servers of equal speed with equal targets.
+std::vector<PlannedServer> MakeServers(size_t count) {
   std::vector<PlannedServer> servers;
   for (size_t i = 0; i < count; ++i) {
     servers.push_back({"server-" + std::to_string(i), 2, 0.1,
@@ -17,12 +17,13 @@
   return servers;
 }
 
-// The first slices get a part of the requests, the others the rest.
-SliceWeights BusyAtTheBeginning(uint32_t slices, double part, double samples) {
+// Spreads `hot_share` of the requests over the first `slices` slices and the
+// rest over the others.
+SliceWeights HotPrefix(uint32_t slices, double hot_share, double samples) {
   std::vector<float> rates(kSlices);
   for (uint32_t i = 0; i < kSlices; ++i) {
-    rates[i] = static_cast<float>(i < slices ? part / slices
-                                             : (1 - part) / (kSlices - slices));
+    rates[i] = static_cast<float>(
+        i < slices ? hot_share / slices : (1 - hot_share) / (kSlices - slices));
   }
   return {rates, samples};
 }
@@ -32,12 +33,12 @@
               const SliceWeights& weights) {
   double load = 0;
   for (const PlannedRange& range : ranges) {
-    load += range.m_owner == server ? weights.Of(range.m_range) : 0;
+    load += range.m_owner == server ? weights.ShareOf(range.m_range) : 0;
   }
   return load;
 }
 
-// The ranges cover all keys once, in order.
+// Expects that the ranges cover every key exactly once, sorted, with owners.
 void ExpectCover(const std::vector<PlannedRange>& ranges) {
   uint32_t next = 0;
   for (const PlannedRange& range : ranges) {
@@ -48,9 +49,9 @@
   EXPECT_EQ(next, kShardKeys);
 }
 
-TEST(RangePlannerTest, OrphansAreSpreadOverTheServersWithRoom) {
+TEST(RangePlannerTest, RangesWithoutOwnerAreSpreadByHeadroom) {
   const SliceWeights weights;
-  const auto servers = Servers(6);
+  const auto servers = MakeServers(6);
   const auto plan =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, weights);
   ExpectCover(plan);
@@ -59,85 +60,85 @@
   }
 }
 
-TEST(RangePlannerTest, NothingMovesWithoutNeed) {
+TEST(RangePlannerTest, BalancedPlanStaysUnchanged) {
   const SliceWeights weights;
-  const auto servers = Servers(6);
+  const auto servers = MakeServers(6);
   const auto plan =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, weights);
   EXPECT_EQ(FillPlanner().Plan(plan, servers, weights), plan);
-  EXPECT_EQ(RelievePlanner().Plan(plan, servers, weights), plan);
+  EXPECT_EQ(RebalancePlanner().Plan(plan, servers, weights), plan);
 }
 
-TEST(RangePlannerTest, AnEmptyServerIsFilledFromTheFullest) {
+TEST(RangePlannerTest, ServerWithoutLoadIsFilled) {
   const SliceWeights weights;
   const auto five =
-      FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, Servers(5), weights);
-  const auto plan = FillPlanner().Plan(five, Servers(6), weights);
+      FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, MakeServers(5), weights);
+  const auto plan = FillPlanner().Plan(five, MakeServers(6), weights);
   ExpectCover(plan);
   EXPECT_GT(LoadOf(plan, "server-5", weights), 0.1);
 }
 
-// Found on a day with hundreds of servers that came one by one: each was filled
-// by one piece and a slice, which doubled the number of ranges to be renewed.
-TEST(RangePlannerTest, ServersThatComeOneByOneGetFewRanges) {
+// Regression test: when hundreds of servers registered one by one, each was
+// filled by one piece and a single slice, which doubled the number of ranges to
+// renew.
+TEST(RangePlannerTest, ServersRegisteringOneByOneGetFewRanges) {
   const SliceWeights weights;
   std::vector<PlannedRange> plan = {{{0, kShardKeys - 1}, ""}};
   for (size_t count = 1; count <= 60; ++count) {
-    plan = FillPlanner().Plan(plan, Servers(count), weights);
+    plan = FillPlanner().Plan(plan, MakeServers(count), weights);
   }
   ExpectCover(plan);
-  // A leader with half a core and hundreds of servers spends a third of it on
-  // renewals at three ranges a server, 0.25 ms an order.
+  // With hundreds of servers, three ranges per server and 0.25 ms per grant
+  // call, a leader with half a core spends a third of it on renewals.
   EXPECT_LE(plan.size(), 3 * 60U);
 }
 
-// Load pattern: busy keys next to one another at one server. The baseline moves
-// nothing.
-TEST(RangePlannerTest, BusyKeysAreRelieved) {
-  const auto servers = Servers(4);
+// Adjacent hot keys are all owned by one server. FillPlanner, the baseline,
+// moves nothing.
+TEST(RangePlannerTest, HotKeysAreMovedOffTheirServer) {
+  const auto servers = MakeServers(4);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
-  const SliceWeights weights = BusyAtTheBeginning(512, 0.6, 1000);
-  const std::string busy = start.front().m_owner;
-  const double before = LoadOf(start, busy, weights);
+  const SliceWeights weights = HotPrefix(512, 0.6, 1000);
+  const std::string hot_server = start.front().m_owner;
+  const double before = LoadOf(start, hot_server, weights);
   EXPECT_EQ(FillPlanner().Plan(start, servers, weights), start);
-  const auto plan = RelievePlanner().Plan(start, servers, weights);
+  const auto plan = RebalancePlanner().Plan(start, servers, weights);
   ExpectCover(plan);
-  EXPECT_LT(LoadOf(plan, busy, weights), before * 0.6);
+  EXPECT_LT(LoadOf(plan, hot_server, weights), before * 0.6);
 }
 
-// Load pattern of the calm day: 42 of 100 requests are for 60 keys next to one
-// another, more than any one server answers.
-TEST(RangePlannerTest, SixtyBusyKeysAreSpreadOverSeveralServers) {
-  const auto servers = Servers(27);
+// At low demand, 42% of the requests are for 60 adjacent keys, which is more
+// than any single server can handle.
+TEST(RangePlannerTest, SixtyHotKeysAreSpreadOverSeveralServers) {
+  const auto servers = MakeServers(27);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
-  const SliceWeights weights =
-      BusyAtTheBeginning(60 / kKeysPerSlice, 0.42, 300);
+  const SliceWeights weights = HotPrefix(60 / kKeysPerSlice, 0.42, 300);
   auto plan = start;
   for (int round = 0; round < 3; ++round) {
-    plan = RelievePlanner().Plan(plan, servers, weights);
+    plan = RebalancePlanner().Plan(plan, servers, weights);
   }
   ExpectCover(plan);
-  double most = 0;
+  double max_load = 0;
   for (const PlannedServer& server : servers) {
-    most = std::max(most, LoadOf(plan, server.m_id, weights));
+    max_load = std::max(max_load, LoadOf(plan, server.m_id, weights));
   }
-  EXPECT_LT(most, 0.42 / 4);
+  EXPECT_LT(max_load, 0.42 / 4);
 }
 
-TEST(RangePlannerTest, WhatChanceExplainsMovesNothing) {
-  const auto servers = Servers(20);
+TEST(RangePlannerTest, RandomVariationMovesNothing) {
+  const auto servers = MakeServers(20);
   const auto start =
       FillPlanner().Plan({{{0, kShardKeys - 1}, ""}}, servers, SliceWeights());
-  // Twice the even load at one server, known by five requests in all.
-  const SliceWeights weights = BusyAtTheBeginning(kSlices / 20, 0.1, 5);
-  EXPECT_EQ(RelievePlanner().Plan(start, servers, weights), start);
+  // One server has twice the equal share, measured by only five requests.
+  const SliceWeights weights = HotPrefix(kSlices / 20, 0.1, 5);
+  EXPECT_EQ(RebalancePlanner().Plan(start, servers, weights), start);
 }
 
-TEST(RangePlannerTest, OneBusySliceGoesToTheStrongestServer) {
-  const SliceWeights weights = BusyAtTheBeginning(1, 0.8, 1000);
-  std::vector<PlannedServer> servers = Servers(3);
+TEST(RangePlannerTest, OneHotSliceMovesToTheLargestTarget) {
+  const SliceWeights weights = HotPrefix(1, 0.8, 1000);
+  std::vector<PlannedServer> servers = MakeServers(3);
   servers[0].m_target = 0.2;
   servers[1].m_target = 0.2;
   servers[2].m_target = 0.6;
@@ -145,7 +146,7 @@
       {{0, kKeysPerSlice - 1}, "server-0"},
       {{kKeysPerSlice, 30'015}, "server-1"},
       {{30'016, kShardKeys - 1}, "server-2"}};
-  const auto plan = RelievePlanner().Plan(start, servers, weights);
+  const auto plan = RebalancePlanner().Plan(start, servers, weights);
   ExpectCover(plan);
   EXPECT_EQ(plan.front().m_owner, "server-2");
 }
