--- a/src/gateway/cluster_codec.cc
+++ b/src/gateway/cluster_codec.cc
@@ -28,7 +28,7 @@
 }
 
 template <typename Archive>
-void serialize(Archive& archive, LeadRecord& m) {  // NOLINT
+void serialize(Archive& archive, LeaderLeaseRecord& m) {  // NOLINT
   archive(m.m_address, m.m_incarnation, m.m_epoch, m.m_renewals, m.m_released);
 }
 
@@ -39,12 +39,12 @@
 
 template <typename Archive>
 void serialize(Archive& archive, PackedRange& m) {  // NOLINT
-  archive(m.m_first, m.m_last, m.m_server, m.m_settled);
+  archive(m.m_first, m.m_last, m.m_server, m.m_grant_confirmed);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, PackedOwners& m) {  // NOLINT
-  archive(m.m_epoch, m.m_number, m.m_servers, m.m_ranges, m.m_previous);
+  archive(m.m_epoch, m.m_number, m.m_servers, m.m_ranges, m.m_previous_owners);
 }
 
 template <typename Archive>
@@ -64,7 +64,7 @@
 
 template <typename Archive>
 void serialize(Archive& archive, MemberReport& m) {  // NOLINT
-  archive(m.m_address, m.m_incarnation, m.m_sequence, m.m_sent, m.m_demands,
+  archive(m.m_address, m.m_incarnation, m.m_sequence, m.m_sent_at, m.m_demands,
           m.m_loads, m.m_speeds);
 }
 
@@ -74,16 +74,16 @@
 }
 
 template <typename Archive>
-void serialize(Archive& archive, RowsNews& m) {  // NOLINT
-  archive(m.m_epoch, m.m_kind, m.m_after, m.m_up_to, m.m_rows);
+void serialize(Archive& archive, RelayedRows& m) {  // NOLINT
+  archive(m.m_epoch, m.m_kind, m.m_from_version, m.m_to_version, m.m_rows);
 }
 
 template <typename Archive>
-void serialize(Archive& archive, LeaderDigest& m) {  // NOLINT
-  archive(m.m_address, m.m_epoch, m.m_sequence, m.m_report_sent,
-          m.m_lead_version, m.m_leaving, m.m_relaying, m.m_servers_contact_age,
-          m.m_changes, m.m_operator_read_age, m.m_tokens.m_lifetime,
-          m.m_tokens.m_grants);
+void serialize(Archive& archive, ReportResponse& m) {  // NOLINT
+  archive(m.m_address, m.m_epoch, m.m_sequence, m.m_report_sent_at,
+          m.m_leader_lease_version, m.m_shutting_down, m.m_relaying,
+          m.m_servers_contact_age_ms, m.m_last_change_versions,
+          m.m_operator_read_age_ms, m.m_tokens.m_lifetime, m.m_tokens.m_grants);
 }
 
 namespace {
@@ -131,7 +131,7 @@
   return Encode(record);
 }
 
-std::string EncodeRecord(const LeadRecord& record) {
+std::string EncodeRecord(const LeaderLeaseRecord& record) {
   return Encode(record);
 }
 
@@ -143,18 +143,18 @@
   if (const auto* report = std::get_if<MemberReport>(&message)) {
     return Encode(kReportTag, *report);
   }
-  if (const auto* news = std::get_if<RowsNews>(&message)) {
+  if (const auto* news = std::get_if<RelayedRows>(&message)) {
     return Encode(kNewsTag, *news);
   }
-  return Encode(kDigestTag, std::get<LeaderDigest>(message));
+  return Encode(kDigestTag, std::get<ReportResponse>(message));
 }
 
 MemberRecord DecodeMemberRecord(const std::string& bytes) {
   return Decode<MemberRecord>(bytes);
 }
 
-LeadRecord DecodeLeadRecord(const std::string& bytes) {
-  return Decode<LeadRecord>(bytes);
+LeaderLeaseRecord DecodeLeaderLeaseRecord(const std::string& bytes) {
+  return Decode<LeaderLeaseRecord>(bytes);
 }
 
 OwnersRecord DecodeOwnersRecord(const std::string& bytes) {
@@ -169,9 +169,9 @@
     if (tag == kReportTag) {
       archive(message.emplace<MemberReport>());
     } else if (tag == kDigestTag) {
-      archive(message.emplace<LeaderDigest>());
+      archive(message.emplace<ReportResponse>());
     } else if (tag == kNewsTag) {
-      archive(message.emplace<RowsNews>());
+      archive(message.emplace<RelayedRows>());
     } else {
       throw Error(ErrorCode::kMessageMalformed, "unknown kind");
     }
--- a/src/gateway/cluster_codec.h
+++ b/src/gateway/cluster_codec.h
@@ -8,16 +8,16 @@
 namespace foxtail {
 
 /// A datagram between daemons.
-using ClusterMessage = std::variant<MemberReport, LeaderDigest, RowsNews>;
+using ClusterMessage = std::variant<MemberReport, ReportResponse, RelayedRows>;
 
 /// Encode and decode in a compact binary form. Decoders throw
 /// `Error(kMessageMalformed)`.
 std::string EncodeRecord(const MemberRecord& record);
-std::string EncodeRecord(const LeadRecord& record);
+std::string EncodeRecord(const LeaderLeaseRecord& record);
 std::string EncodeRecord(const OwnersRecord& record);
 std::string EncodeMessage(const ClusterMessage& message);
 MemberRecord DecodeMemberRecord(const std::string& bytes);
-LeadRecord DecodeLeadRecord(const std::string& bytes);
+LeaderLeaseRecord DecodeLeaderLeaseRecord(const std::string& bytes);
 OwnersRecord DecodeOwnersRecord(const std::string& bytes);
 ClusterMessage DecodeClusterMessage(const std::string& bytes);
 
--- a/src/gateway/cluster_records.h
+++ b/src/gateway/cluster_records.h
@@ -16,8 +16,8 @@
 
 /// Table of the leader lease. It is apart because its renewals must not wake
 /// the daemons that watch the other rows.
-inline constexpr const char* kLeadTable = "foxtail-lead";
-inline constexpr const char* kLeadKey = "lead";
+inline constexpr const char* kLeaderLeaseTable = "foxtail-lead";
+inline constexpr const char* kLeaderLeaseKey = "lead";
 
 /// Prefixes of keys in the cluster table.
 inline constexpr const char* kMemberPrefix = "member/";
@@ -39,7 +39,7 @@
 };
 
 /// Row lead: which daemon decides on ownership.
-struct LeadRecord {
+struct LeaderLeaseRecord {
   std::string m_address;
   std::string m_incarnation;
 
@@ -52,7 +52,7 @@
   /// Given back on a planned stop: anyone may take it at once.
   bool m_released = false;
 
-  bool operator==(const LeadRecord&) const = default;
+  bool operator==(const LeaderLeaseRecord&) const = default;
 };
 
 /// Owner of a range of shard keys.
@@ -62,10 +62,10 @@
   int64_t m_incarnation = 0;
 
   /// Whether the owner has confirmed its grant.
-  bool m_settled = false;
+  bool m_grant_confirmed = false;
 
   /// Servers whose earlier right may not have ended.
-  std::vector<std::string> m_previous;
+  std::vector<std::string> m_previous_owners;
 
   bool operator==(const OwnedRange&) const = default;
 };
@@ -120,7 +120,7 @@
   uint64_t m_sequence = 0;
 
   /// Sender's clock at sending; means something to the sender only.
-  int64_t m_sent = 0;
+  int64_t m_sent_at = 0;
   std::vector<TokenDemand> m_demands;
   std::vector<ServiceLoad> m_loads;
   std::vector<ServerSpeed> m_speeds;
@@ -128,44 +128,44 @@
 
 /// Datagram from the leader to each member: rows of a watched table that have
 /// changed.
-struct RowsNews {
+struct RelayedRows {
   uint64_t m_epoch = 0;
   uint32_t m_kind = kOperatorRows;
 
   /// Who knows all changes up to this version knows, with these rows, all up to
   /// the second one.
-  uint64_t m_after = 0;
-  uint64_t m_up_to = 0;
+  uint64_t m_from_version = 0;
+  uint64_t m_to_version = 0;
   std::vector<StoredRow> m_rows;
 };
 
 /// Datagram from the leader in answer to a report.
-struct LeaderDigest {
+struct ReportResponse {
   std::string m_address;
   uint64_t m_epoch = 0;
 
   /// Sequence and sending time of the report that it answers.
   uint64_t m_sequence = 0;
-  int64_t m_report_sent = 0;
+  int64_t m_report_sent_at = 0;
 
   /// Version of the lead row that the leader wrote last.
-  uint64_t m_lead_version = 0;
+  uint64_t m_leader_lease_version = 0;
 
   /// The leader gives its lease back.
-  bool m_leaving = false;
+  bool m_shutting_down = false;
 
   /// The leader reads the store without trouble and passes changes on.
   bool m_relaying = false;
 
   /// For how long the leader has read the servers' rows without a gap,
   /// milliseconds.
-  uint32_t m_servers_contact_age = 0;
+  uint32_t m_servers_contact_age_ms = 0;
 
   /// Version of the newest change in each watched table that the leader knows.
-  std::array<uint64_t, kWatchedKinds> m_changes{};
+  std::array<uint64_t, kWatchedKinds> m_last_change_versions{};
 
   /// Age of the leader's last read of the operators' rows, milliseconds.
-  uint32_t m_operator_read_age = 0;
+  uint32_t m_operator_read_age_ms = 0;
   TokenResponse m_tokens;
 };
 
--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -7,10 +7,10 @@
 #include "core/digest.h"
 #include "core/error.h"
 #include "gateway/gateway_tick.h"
-#include "gateway/grant_order_system.h"
 #include "gateway/leadership_system.h"
 #include "gateway/member_system.h"
 #include "gateway/owners_system.h"
+#include "gateway/range_grant_system.h"
 #include "gateway/relay_system.h"
 #include "runtime/fiber_scheduler.h"
 #include "runtime/fiber_wait.h"
@@ -82,7 +82,7 @@
 void ControlThread::Leave() {
   m_mailbox.Post([this] {
     m_tables.m_stopping = true;
-    m_tables.m_lead.m_next_operation = TimePoint();
+    m_tables.m_leader_lease.m_next_store_call_at = TimePoint();
     Wake();
   });
 }
@@ -99,7 +99,7 @@
   m_store = m_ports.m_make_store();
   m_orders = m_ports.m_make_orders();
   OpenSocket();
-  m_tables.m_started = Clock::now();
+  m_tables.m_started_at = Clock::now();
   for (WatchedTable& table : m_watched) {
     StartFiber([this, &table] { Watch(table); });
   }
@@ -137,7 +137,7 @@
 bool ControlThread::WatchOnce(WatchedTable& table) {
   const BootTime sent = BootClock::now();
   const bool complete = !table.m_read;
-  const uint64_t version = m_tables.m_progress[table.m_kind].m_read_up_to;
+  const uint64_t version = m_tables.m_progress[table.m_kind].m_applied_version;
   const RowsResult result =
       complete ? m_store->Read(table.m_name, "",
                                m_settings.m_ownership.m_store_timeout)
@@ -164,11 +164,11 @@
     return false;
   }
   // An answer from before an earlier one would take changes back.
-  if (result.m_version < progress.m_read_up_to) {
+  if (result.m_version < progress.m_applied_version) {
     return !complete;
   }
   table.m_read = true;
-  progress.m_read_at = std::max(progress.m_read_at, sent);
+  progress.m_last_read_sent_at = std::max(progress.m_last_read_sent_at, sent);
   if (table.m_kind == kOperatorRows) {
     m_tables.m_operators_read_at = std::max(m_tables.m_operators_read_at, sent);
   }
@@ -178,7 +178,7 @@
                     {"rows", result.m_rows.size()},
                     {"version", result.m_version}});
   } else {
-    RelaySystem::OnRead(m_tables, table.m_kind, progress.m_newest_change,
+    RelaySystem::OnRead(m_tables, table.m_kind, progress.m_last_change_version,
                         result, ReadClocks());
   }
   TakeRows(table, result, complete);
@@ -188,7 +188,7 @@
 void ControlThread::TakeRows(WatchedTable& table,
                              const RowsResult& result,
                              bool complete) {
-  m_tables.m_progress[table.m_kind].NoteRows(result, complete);
+  m_tables.m_progress[table.m_kind].RecordAppliedRows(result, complete);
   if (complete || !result.m_rows.empty()) {
     (m_directory.*table.m_apply)(m_tables, result.m_rows, complete,
                                  ReadClocks());
@@ -197,10 +197,10 @@
   Flush();
 }
 
-void ControlThread::TakeNews(RowsNews news) {
+void ControlThread::TakeNews(RelayedRows news) {
   const uint32_t kind = news.m_kind;
   const auto rows =
-      RelaySystem::OnNews(m_tables, std::move(news), ReadClocks());
+      RelaySystem::OnRelayedRows(m_tables, std::move(news), ReadClocks());
   if (rows && m_watched[kind].m_read) {
     TakeRows(m_watched[kind], *rows, false);
   }
@@ -216,7 +216,8 @@
         continue;
       }
       const BootTime sent = BootClock::now();
-      const uint64_t version = m_tables.m_progress[table.m_kind].m_read_up_to;
+      const uint64_t version =
+          m_tables.m_progress[table.m_kind].m_applied_version;
       TakeResult(table, m_store->Watch(table.m_name, version, kProbeWait),
                  false, sent);
     }
@@ -241,7 +242,7 @@
 void ControlThread::TickLoop() {
   while (!m_stopping) {
     Tick();
-    m_wake.WaitUntil(m_tables.m_next_due);
+    m_wake.WaitUntil(m_tables.m_next_tick_at);
   }
 }
 
@@ -261,8 +262,8 @@
   for (ControlCommand& command : std::exchange(m_tables.m_outbox, {})) {
     Carry(std::move(command));
   }
-  for (LeaderWord& word : std::exchange(m_tables.m_leader_words, {})) {
-    m_listener.OnLeaderWord(std::move(word));
+  for (LeaderTokens& word : std::exchange(m_tables.m_leader_tokens, {})) {
+    m_listener.OnLeaderTokens(std::move(word));
   }
   if (std::exchange(m_tables.m_snapshot_due, false)) {
     m_listener.OnSnapshot(BuildSnapshot(m_tables));
@@ -305,15 +306,15 @@
       }
       return;
     }
-    if (auto* news = std::get_if<RowsNews>(&message)) {
+    if (auto* news = std::get_if<RelayedRows>(&message)) {
       TakeNews(std::move(*news));
       return;
     }
-    const auto& digest = std::get<LeaderDigest>(message);
-    LeadershipSystem::OnDigest(m_tables, digest, now);
-    MemberSystem::OnDigest(m_tables, digest, now);
+    const auto& digest = std::get<ReportResponse>(message);
+    LeadershipSystem::OnReportResponse(m_tables, digest, now);
+    MemberSystem::OnReportResponse(m_tables, digest, now);
     Flush();
-    if (digest.m_leaving) {
+    if (digest.m_shutting_down) {
       Wake();
     }
   } catch (const Error& failure) {
@@ -329,18 +330,18 @@
 }
 
 void ControlThread::CarryOut(const GrantCommand& command) {
-  const OrderOutcome outcome = m_orders->Grant(
-      command.m_address, command.m_keys, command.m_fence, command.m_hold,
+  const ServerCallOutcome outcome = m_orders->Grant(
+      command.m_address, command.m_keys, command.m_fence, command.m_grant_ttl,
       command.m_handover, m_settings.m_ownership.m_order_timeout);
-  GrantOrderSystem::OnGranted(m_tables, command, outcome, ReadClocks());
+  RangeGrantSystem::OnGranted(m_tables, command, outcome, ReadClocks());
 }
 
 void ControlThread::CarryOut(const ReleaseCommand& command) {
   std::string handover;
-  const OrderOutcome outcome =
+  const ServerCallOutcome outcome =
       m_orders->Release(command.m_address, command.m_keys, command.m_fence,
                         command.m_timeout, handover);
-  GrantOrderSystem::OnReleased(m_tables, command, outcome, handover,
+  RangeGrantSystem::OnReleased(m_tables, command, outcome, handover,
                                ReadClocks());
 }
 
@@ -348,7 +349,7 @@
   const RowsResult result = m_store->Read(
       command.m_table, command.m_key, m_settings.m_ownership.m_store_timeout);
   const Now now = ReadClocks();
-  if (command.m_table == kLeadTable) {
+  if (command.m_table == kLeaderLeaseTable) {
     LeadershipSystem::OnRead(m_tables, result, now);
   } else {
     OwnersSystem::OnRead(
@@ -362,7 +363,7 @@
   const WriteResult result =
       m_store->Write(write, m_settings.m_ownership.m_store_timeout);
   const Now now = ReadClocks();
-  if (write.m_table == kLeadTable) {
+  if (write.m_table == kLeaderLeaseTable) {
     LeadershipSystem::OnWritten(m_tables, result, now);
   } else if (write.m_key.starts_with(kOwnersPrefix)) {
     OwnersSystem::OnWritten(
--- a/src/gateway/control_thread.h
+++ b/src/gateway/control_thread.h
@@ -36,7 +36,7 @@
   virtual void OnFreshness(BootTime operators_read_at) = 0;
 
   /// The leader answered a report. Called on the control thread.
-  virtual void OnLeaderWord(LeaderWord word) = 0;
+  virtual void OnLeaderTokens(LeaderTokens word) = 0;
 };
 
 /// The thread that owns the control tables: watches the store, runs the tick
@@ -89,7 +89,7 @@
                   bool complete,
                   BootTime sent);
   void TakeRows(WatchedTable& table, const RowsResult& result, bool complete);
-  void TakeNews(RowsNews news);
+  void TakeNews(RelayedRows news);
   void ProbeLoop();
   void NoteContact(WatchedTable& table, bool answered, StoreOutcome outcome);
   void TickLoop();
--- a/src/gateway/directory_decoder.h
+++ b/src/gateway/directory_decoder.h
@@ -29,8 +29,8 @@
 
   /// Tells what an operators' row is; for an evacuation, `data_centre` names
   /// the data centre that is to be empty.
-  virtual OperatorRowKind KindOf(const std::string& key,
-                                 std::string& data_centre) const = 0;
+  virtual OperatorRowKind ClassifyRow(const std::string& key,
+                                      std::string& data_centre) const = 0;
 
   /// Decodes a configuration. Throws `Error(kIntentInvalid)`.
   virtual RoutingConfig DecodeConfiguration(const std::string& value) const = 0;
--- a/src/gateway/directory_system.cc
+++ b/src/gateway/directory_system.cc
@@ -17,15 +17,15 @@
 
 void Unlist(GatewayTables& tables, ServerRow& server, const Now& now) {
   server.m_missing = false;
-  server.m_listed = false;
-  server.m_unlisted_since = now.m_steady;
+  server.m_registered = false;
+  server.m_deregistered_since = now.m_steady;
   tables.m_events.push_back(
       {EventNumber::kServerUnlisted,
        {{"cell", server.m_entry.m_service}, {"server", server.m_entry.m_id}}});
 }
 
 void NoteMissing(GatewayTables& tables, ServerRow& server, const Now& now) {
-  if (!server.m_listed || server.m_missing) {
+  if (!server.m_registered || server.m_missing) {
     return;
   }
   if (now.m_steady - tables.m_servers_contact_since < kAfterOutage) {
@@ -41,7 +41,7 @@
     const bool evacuated =
         tables.m_evacuated.contains(server.m_entry.m_data_centre);
     if (evacuated && !server.m_evacuated && !server.m_entry.m_draining) {
-      server.m_leaving_since = now.m_steady;
+      server.m_draining_since = now.m_steady;
     }
     server.m_evacuated = evacuated;
   });
@@ -65,8 +65,8 @@
       tables.m_members.Erase(id);
     }
     if (own) {
-      tables.m_member_listed = false;
-      tables.m_member_version = 0;
+      tables.m_self_registered = false;
+      tables.m_self_row_version = 0;
     }
     return;
   }
@@ -74,12 +74,12 @@
   try {
     record = DecodeMemberRecord(row.m_value);
   } catch (const Error& failure) {
-    NoteUnreadable(tables, kClusterTable, row.m_key, failure.GetDetail());
+    LogUnreadableRow(tables, kClusterTable, row.m_key, failure.GetDetail());
     return;
   }
   if (own) {
-    tables.m_member_version = row.m_version;
-    tables.m_member_listed = record == tables.m_self;
+    tables.m_self_row_version = row.m_version;
+    tables.m_self_registered = record == tables.m_self;
   }
   const MemberId kept = id.IsValid() ? id : tables.m_members.Insert({});
   MemberRow& member = tables.m_members.Get(kept);
@@ -104,7 +104,7 @@
       known = std::move(record);
     }
   } catch (const Error& failure) {
-    NoteUnreadable(tables, kClusterTable, row.m_key, failure.GetDetail());
+    LogUnreadableRow(tables, kClusterTable, row.m_key, failure.GetDetail());
   }
 }
 
@@ -112,7 +112,7 @@
   return tables.m_ranges
       .FindIf([&server](const RangeRow& row) {
         return row.m_owner == server ||
-               std::ranges::count(row.m_previous, server) > 0;
+               std::ranges::count(row.m_previous_owners, server) > 0;
       })
       .IsValid();
 }
@@ -135,8 +135,8 @@
     tables.m_events.push_back(
         {EventNumber::kConfigurationInForce, {{"version", version}}});
   } catch (const Error& failure) {
-    NoteUnreadable(tables, m_decoder.OperatorTable(), row.m_key,
-                   failure.GetDetail());
+    LogUnreadableRow(tables, m_decoder.OperatorTable(), row.m_key,
+                     failure.GetDetail());
   }
 }
 
@@ -150,7 +150,7 @@
   }
   for (const StoredRow& row : rows) {
     std::string data_centre;
-    switch (m_decoder.KindOf(row.m_key, data_centre)) {
+    switch (m_decoder.ClassifyRow(row.m_key, data_centre)) {
       case OperatorRowKind::kConfiguration:
         TakeConfiguration(tables, row);
         break;
@@ -193,8 +193,8 @@
     entry = m_decoder.DecodeServer(row.m_key, row.m_value);
   } catch (const Error& failure) {
     // An entry that cannot be read names no server.
-    NoteUnreadable(tables, m_decoder.ServerTable(), row.m_key,
-                   failure.GetDetail());
+    LogUnreadableRow(tables, m_decoder.ServerTable(), row.m_key,
+                     failure.GetDetail());
     if (known) {
       Unlist(tables, *known, now);
     }
@@ -209,17 +209,17 @@
          {{"cell", entry.m_service}, {"server", entry.m_id}}});
   }
   const bool restarted = known->m_entry.m_incarnation != entry.m_incarnation;
-  if (restarted || !known->m_listed) {
-    known->m_failed_orders = 0;
+  if (restarted || !known->m_registered) {
+    known->m_consecutive_failures = 0;
   }
   if (entry.m_draining && !known->m_entry.m_draining) {
-    known->m_leaving_since = now.m_steady;
+    known->m_draining_since = now.m_steady;
     tables.m_events.push_back(
         {EventNumber::kServerDraining,
          {{"cell", entry.m_service}, {"server", entry.m_id}}});
   }
   known->m_cold_until = now.m_steady + entry.m_cold_left;
-  known->m_listed = true;
+  known->m_registered = true;
   known->m_missing = false;
   known->m_entry = std::move(entry);
   known->m_evacuated =
@@ -240,7 +240,7 @@
       }
     });
   }
-  tables.m_servers_read = true;
+  tables.m_servers_loaded = true;
   tables.m_snapshot_due = true;
 }
 
@@ -261,8 +261,8 @@
         tables.m_members.Erase(id);
       }
     });
-    tables.m_member_listed =
-        tables.m_member_listed &&
+    tables.m_self_registered =
+        tables.m_self_registered &&
         HasKey(rows, kMemberPrefix + tables.m_self.m_address);
   }
   tables.m_snapshot_due = true;
@@ -276,10 +276,10 @@
       Unlist(tables, server, now);
       tables.m_snapshot_due = true;
     }
-    if (server.m_listed) {
+    if (server.m_registered) {
       return;
     }
-    const TimePoint forget_at = server.m_unlisted_since + kForgetAfter;
+    const TimePoint forget_at = server.m_deregistered_since + kForgetAfter;
     if (now.m_steady < forget_at) {
       tables.WakeAt(forget_at);
     } else if (!IsReferredTo(tables, server.m_entry.m_id)) {
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -33,7 +33,7 @@
 
   /// Hold of a grant, and pause between its renewals (three tries a hold). A
   /// shorter hold frees the keys of a lost server sooner.
-  Duration m_hold = std::chrono::milliseconds(4000);
+  Duration m_grant_ttl = std::chrono::milliseconds(4000);
   Duration m_renewal = std::chrono::milliseconds(1300);
 
   /// A shorter hold than this is not worth an order.
--- a/src/gateway/gateway_tables.cc
+++ b/src/gateway/gateway_tables.cc
@@ -4,29 +4,30 @@
 
 namespace foxtail {
 
-void WatchProgress::NoteChange(uint64_t version, TimePoint now) {
-  m_known_change = std::max(m_known_change, version);
-  if (m_known_change > m_read_up_to && m_behind_since == TimePoint()) {
+void WatchProgress::RecordKnownVersion(uint64_t version, TimePoint now) {
+  m_latest_known_version = std::max(m_latest_known_version, version);
+  if (m_latest_known_version > m_applied_version &&
+      m_behind_since == TimePoint()) {
     m_behind_since = now;
   }
 }
 
-void WatchProgress::NoteRead(uint64_t version) {
-  m_read_up_to = std::max(m_read_up_to, version);
-  if (m_known_change <= m_read_up_to) {
+void WatchProgress::RecordAppliedVersion(uint64_t version) {
+  m_applied_version = std::max(m_applied_version, version);
+  if (m_latest_known_version <= m_applied_version) {
     m_behind_since = TimePoint();
   }
 }
 
-void WatchProgress::NoteRows(const RowsResult& result, bool complete) {
-  NoteRead(result.m_version);
+void WatchProgress::RecordAppliedRows(const RowsResult& result, bool complete) {
+  RecordAppliedVersion(result.m_version);
   // A whole table does not show removals, so any change up to its version
   // may be missing at others.
   if (complete) {
-    m_newest_change = result.m_version;
+    m_last_change_version = result.m_version;
   }
   for (const StoredRow& row : result.m_rows) {
-    m_newest_change = std::max(m_newest_change, row.m_version);
+    m_last_change_version = std::max(m_last_change_version, row.m_version);
   }
 }
 
@@ -48,17 +49,18 @@
       [&name](const ServiceRow& row) { return row.m_name == name; });
 }
 
-void NoteUnreadable(GatewayTables& tables,
-                    const std::string& table,
-                    const std::string& key,
-                    const std::string& error) {
+void LogUnreadableRow(GatewayTables& tables,
+                      const std::string& table,
+                      const std::string& key,
+                      const std::string& error) {
   tables.m_events.push_back(
       {EventNumber::kRowUnreadable,
        {{"table", table}, {"key", key}, {"error", error}}});
 }
 
 bool IsEligible(const ServerRow& server) {
-  return server.m_listed && !server.m_entry.m_draining && !server.m_evacuated;
+  return server.m_registered && !server.m_entry.m_draining &&
+         !server.m_evacuated;
 }
 
 }  // namespace foxtail
--- a/src/gateway/gateway_tables.h
+++ b/src/gateway/gateway_tables.h
@@ -39,7 +39,7 @@
   uint64_t m_row_version = 0;
 
   /// At the leader: its last report.
-  TimePoint m_heard;
+  TimePoint m_last_heard_at;
   uint64_t m_report_sequence = 0;
 };
 
@@ -48,8 +48,8 @@
   BackendServerEntry m_entry;
 
   /// The entry is gone; the row stays until nothing refers to it.
-  bool m_listed = true;
-  TimePoint m_unlisted_since;
+  bool m_registered = true;
+  TimePoint m_deregistered_since;
 
   /// The entry is missing right after an outage of the store: it counts as gone
   /// from this time on unless it comes back.
@@ -57,7 +57,7 @@
   TimePoint m_missing_until;
 
   /// When it began to drain or its data centre to be evacuated.
-  TimePoint m_leaving_since;
+  TimePoint m_draining_since;
   bool m_evacuated = false;
 
   /// Cold until this time.
@@ -66,7 +66,7 @@
   SpeedEstimate m_speed;
 
   /// Orders that failed in a row, and when the first of them did.
-  uint32_t m_failed_orders = 0;
+  uint32_t m_consecutive_failures = 0;
   TimePoint m_failing_since;
 };
 
@@ -80,7 +80,7 @@
   kReleasing,
   /// The new owner must confirm its grant.
   kGranting,
-  kSettled,
+  kStable,
 };
 
 /// A range of shard keys of a service.
@@ -93,30 +93,30 @@
   RangePhase m_phase = RangePhase::kUnowned;
 
   /// A grant may have reached the owner.
-  bool m_may_hold = false;
+  bool m_may_be_granted = false;
 
   /// Servers whose earlier right to the range may not have ended.
-  std::vector<std::string> m_previous;
+  std::vector<std::string> m_previous_owners;
 
   /// What the previous owner gave for the next one.
   std::string m_handover;
 
   /// No server holds it by an earlier grant after this time.
-  TimePoint m_held_until;
+  TimePoint m_granted_until;
 
   /// The same without the order that is on its way.
-  TimePoint m_held_before;
+  TimePoint m_prior_granted_until;
 
   /// A grant that was not answered may still be carried out before this time,
   /// and the server that is fenced against that.
-  TimePoint m_unanswered_until;
+  TimePoint m_late_grant_until;
   std::string m_fenced_server;
 
   /// Number of the owners record that must be in the store first.
   uint64_t m_record_number = 0;
-  bool m_busy = false;
-  TimePoint m_next_order;
-  TimePoint m_move_started;
+  bool m_call_in_flight = false;
+  TimePoint m_next_server_call_at;
+  TimePoint m_move_started_at;
 };
 
 /// A service whose keys are owned, and its row in the store.
@@ -124,48 +124,48 @@
   std::string m_name;
 
   /// The row as known: read since the lease was taken, and its version.
-  bool m_known = false;
+  bool m_row_loaded = false;
   uint64_t m_row_version = 0;
   uint64_t m_record_number = 0;
 
   /// Ranges changed since the last write; the number they will be in.
   bool m_dirty = false;
-  bool m_busy = false;
+  bool m_call_in_flight = false;
 
   /// The last write had no answer: the row must be read again.
-  bool m_uncertain = false;
-  TimePoint m_next_operation;
-  TimePoint m_next_rebalance;
+  bool m_write_outcome_unknown = false;
+  TimePoint m_next_store_call_at;
+  TimePoint m_next_rebalance_at;
 
   /// Requests per slice of keys since the last smoothing, and requests a
   /// second, smoothed.
-  std::vector<uint32_t> m_counts = std::vector<uint32_t>(kSlices);
-  std::vector<float> m_loads = std::vector<float>(kSlices);
-  TimePoint m_smoothed;
+  std::vector<uint32_t> m_slice_requests = std::vector<uint32_t>(kSlices);
+  std::vector<float> m_slice_rates = std::vector<float>(kSlices);
+  TimePoint m_last_smoothed_at;
 };
 
 /// What this daemon is with regard to the leader lease.
-enum class LeadPhase {
-  kFollowing,
+enum class LeaderLeasePhase {
+  kFollower,
   /// The lease was written and its outcome is not known yet.
-  kTaking,
-  kLeading,
+  kAcquiring,
+  kLeader,
 };
 
 /// The leader lease as this daemon sees it.
-struct LeadState {
-  LeadPhase m_phase = LeadPhase::kFollowing;
-  LeadRecord m_record;
+struct LeaderLeaseState {
+  LeaderLeasePhase m_phase = LeaderLeasePhase::kFollower;
+  LeaderLeaseRecord m_record;
   uint64_t m_row_version = 0;
-  bool m_known = false;
+  bool m_row_loaded = false;
   TimePoint m_unchanged_since;
-  bool m_busy = false;
-  bool m_uncertain = false;
-  TimePoint m_next_operation;
+  bool m_call_in_flight = false;
+  bool m_write_outcome_unknown = false;
+  TimePoint m_next_store_call_at;
 
   /// The record that is being written, and when it was sent.
-  LeadRecord m_pending;
-  BootTime m_pending_sent;
+  LeaderLeaseRecord m_pending_record;
+  BootTime m_pending_sent_at;
 
   /// The leader acts only before this time.
   BootTime m_authority_until;
@@ -174,50 +174,50 @@
   bool m_resigning = false;
 
   /// Grants that outlast an outage of the store were asked for.
-  bool m_outage_holds = false;
+  bool m_outage_ttl_active = false;
 
   /// The fencing token that was given out last.
   uint64_t m_last_fence = 0;
 
   /// When the leader was heard last.
-  TimePoint m_leader_heard;
+  TimePoint m_leader_last_heard_at;
 
   /// After giving the lease back: not taken again before this time.
-  TimePoint m_not_before;
+  TimePoint m_next_acquire_at;
 };
 
 /// How far this daemon has read a watched table.
 struct WatchProgress {
   /// All changes up to this version of the store were taken in.
-  uint64_t m_read_up_to = 0;
+  uint64_t m_applied_version = 0;
 
   /// Version of the newest change of the table that was taken in.
-  uint64_t m_newest_change = 0;
+  uint64_t m_last_change_version = 0;
 
   /// Newest version at which the table is known to have changed, and since when
   /// it is known while that change is not taken in.
-  uint64_t m_known_change = 0;
+  uint64_t m_latest_known_version = 0;
   TimePoint m_behind_since;
 
   /// When this daemon's newest successful read of it was sent.
-  BootTime m_read_at;
+  BootTime m_last_read_sent_at;
 
   /// A change at this version is known of.
-  void NoteChange(uint64_t version, TimePoint now);
+  void RecordKnownVersion(uint64_t version, TimePoint now);
 
   /// All changes up to this version were taken in.
-  void NoteRead(uint64_t version);
+  void RecordAppliedVersion(uint64_t version);
 
   /// Rows were taken in: the whole table if `complete`, or changes.
-  void NoteRows(const RowsResult& result, bool complete);
+  void RecordAppliedRows(const RowsResult& result, bool complete);
 };
 
 /// What the leader answered this daemon's last report.
-struct LeaderWord {
+struct LeaderTokens {
   TokenResponse m_tokens;
 
   /// When the report was sent that it answers.
-  TimePoint m_report_sent;
+  TimePoint m_report_sent_at;
 };
 
 /// An order for a backend server.
@@ -227,7 +227,7 @@
   std::string m_address;
   KeyRange m_keys;
   uint64_t m_fence = 0;
-  Duration m_hold{};
+  Duration m_grant_ttl{};
   std::string m_handover;
 };
 
@@ -275,14 +275,14 @@
 struct GatewayTables {
   OwnershipSettings m_settings;
   MemberRecord m_self;
-  TimePoint m_started;
+  TimePoint m_started_at;
   bool m_stopping = false;
 
   /// Configuration in force, and when the newest read of it was sent.
   std::shared_ptr<const RouteIndex> m_routes;
   std::set<std::string> m_evacuated;
 
-  LeadState m_lead;
+  LeaderLeaseState m_leader_lease;
 
   /// Tokens of the workspaces, while this daemon leads.
   std::optional<TokenHolder> m_tokens;
@@ -305,18 +305,18 @@
 
   /// Version up to which the server table was read, and since when the reads
   /// succeed without a gap.
-  bool m_servers_read = false;
+  bool m_servers_loaded = false;
   TimePoint m_servers_contact_since;
 
   /// Own member row as the store has it.
-  uint64_t m_member_version = 0;
-  bool m_member_listed = false;
-  bool m_member_busy = false;
-  TimePoint m_member_next;
+  uint64_t m_self_row_version = 0;
+  bool m_self_registered = false;
+  bool m_self_write_in_flight = false;
+  TimePoint m_next_self_write_at;
 
   /// Sequence of the last report, and answers for the traffic thread.
   uint64_t m_report_sequence = 0;
-  std::vector<LeaderWord> m_leader_words;
+  std::vector<LeaderTokens> m_leader_tokens;
 
   std::vector<ControlCommand> m_outbox;
   std::vector<PendingEvent> m_events;
@@ -325,14 +325,16 @@
   bool m_snapshot_due = true;
 
   /// The next time at which a system has something to do.
-  TimePoint m_next_due;
+  TimePoint m_next_tick_at;
 
   bool IsLeading(const Now& now) const {
-    return m_lead.m_phase == LeadPhase::kLeading &&
-           now.m_boot < m_lead.m_authority_until;
+    return m_leader_lease.m_phase == LeaderLeasePhase::kLeader &&
+           now.m_boot < m_leader_lease.m_authority_until;
   }
 
-  void WakeAt(TimePoint when) { m_next_due = std::min(m_next_due, when); }
+  void WakeAt(TimePoint when) {
+    m_next_tick_at = std::min(m_next_tick_at, when);
+  }
 };
 
 /// Returns the registered server, or null.
@@ -343,10 +345,10 @@
 ServiceId FindService(const GatewayTables& tables, const std::string& name);
 
 /// A row of the store cannot be decoded: queues the event.
-void NoteUnreadable(GatewayTables& tables,
-                    const std::string& table,
-                    const std::string& key,
-                    const std::string& error);
+void LogUnreadableRow(GatewayTables& tables,
+                      const std::string& table,
+                      const std::string& key,
+                      const std::string& error);
 
 /// Returns whether a server may be given keys or new work.
 bool IsEligible(const ServerRow& server);
--- a/src/gateway/gateway_thread.cc
+++ b/src/gateway/gateway_thread.cc
@@ -130,9 +130,9 @@
       [this, operators_read_at] { m_operators_read_at = operators_read_at; });
 }
 
-void GatewayThread::OnLeaderWord(LeaderWord word) {
+void GatewayThread::OnLeaderTokens(LeaderTokens word) {
   m_mailbox.Post([this, word = std::move(word)] {
-    m_handler->GetRates().OnLeaderWord(word);
+    m_handler->GetRates().OnLeaderTokens(word);
   });
 }
 
--- a/src/gateway/gateway_thread.h
+++ b/src/gateway/gateway_thread.h
@@ -30,7 +30,7 @@
 
   void OnSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot) override;
   void OnFreshness(BootTime operators_read_at) override;
-  void OnLeaderWord(LeaderWord word) override;
+  void OnLeaderTokens(LeaderTokens word) override;
   bool IsFresh() const override;
 
  private:
--- a/src/gateway/gateway_tick.cc
+++ b/src/gateway/gateway_tick.cc
@@ -1,10 +1,10 @@
 #include "gateway/gateway_tick.h"
 
 #include "gateway/directory_system.h"
-#include "gateway/grant_order_system.h"
 #include "gateway/leadership_system.h"
 #include "gateway/member_system.h"
 #include "gateway/owners_system.h"
+#include "gateway/range_grant_system.h"
 #include "gateway/range_placement_system.h"
 
 namespace foxtail {
@@ -13,7 +13,7 @@
   // A tick without anything due looks again after this pause, which bounds the
   // effect of a due time that was missed.
   constexpr std::chrono::milliseconds kLongestPause{1000};
-  tables.m_next_due = now.m_steady + kLongestPause;
+  tables.m_next_tick_at = now.m_steady + kLongestPause;
 
   // 1. Servers that are gone and no longer referred to are forgotten.
   DirectorySystem::Run(tables, now);
@@ -24,7 +24,7 @@
   // 4. records what changed,
   OwnersSystem::Run(tables, now);
   // 5. and then acts on what is recorded, and renews grants.
-  GrantOrderSystem::Run(tables, now);
+  RangeGrantSystem::Run(tables, now);
   // 6. This daemon stays listed; the leader drops members that are silent.
   MemberSystem::Run(tables, now);
 }
--- a/src/gateway/leadership_system.cc
+++ b/src/gateway/leadership_system.cc
@@ -23,37 +23,37 @@
 // A fencing token is the leader's epoch followed by a number of its own.
 constexpr uint32_t kFenceBits = 24;
 
-bool IsOwn(const GatewayTables& tables, const LeadRecord& record) {
+bool IsOwn(const GatewayTables& tables, const LeaderLeaseRecord& record) {
   return record.m_address == tables.m_self.m_address &&
          record.m_incarnation == tables.m_self.m_incarnation;
 }
 
 void AdoptRow(GatewayTables& tables,
-              const LeadRecord& record,
+              const LeaderLeaseRecord& record,
               uint64_t version,
               const Now& now) {
-  LeadState& lead = tables.m_lead;
-  if (!lead.m_known || lead.m_row_version != version) {
+  LeaderLeaseState& lead = tables.m_leader_lease;
+  if (!lead.m_row_loaded || lead.m_row_version != version) {
     lead.m_unchanged_since = now.m_steady;
   }
-  lead.m_known = true;
+  lead.m_row_loaded = true;
   lead.m_record = record;
   lead.m_row_version = version;
 }
 
 void StopLeading(GatewayTables& tables, EventNumber event, const Now& now) {
-  LeadState& lead = tables.m_lead;
+  LeaderLeaseState& lead = tables.m_leader_lease;
   tables.m_events.push_back(
-      {event, {{"cell", "cluster"}, {"epoch", lead.m_pending.m_epoch}}});
-  lead.m_phase = LeadPhase::kFollowing;
+      {event, {{"cell", "cluster"}, {"epoch", lead.m_pending_record.m_epoch}}});
+  lead.m_phase = LeaderLeasePhase::kFollower;
   lead.m_resigning = false;
-  lead.m_not_before = now.m_steady + kAbstention;
+  lead.m_next_acquire_at = now.m_steady + kAbstention;
 }
 
 void StartLeading(GatewayTables& tables, const Now& now) {
-  LeadState& lead = tables.m_lead;
-  lead.m_phase = LeadPhase::kLeading;
-  lead.m_outage_holds = false;
+  LeaderLeaseState& lead = tables.m_leader_lease;
+  lead.m_phase = LeaderLeasePhase::kLeader;
+  lead.m_outage_ttl_active = false;
   tables.m_tokens.emplace(tables.m_settings.m_token_lifetime);
   tables.m_tokens->Begin(now.m_steady);
   lead.m_last_fence = lead.m_record.m_epoch << kFenceBits;
@@ -65,7 +65,8 @@
       [&tables](ServiceId id, ServiceRow&) { tables.m_services.Erase(id); });
   tables.m_ranges.ForEach(
       [&tables](RangeId id, RangeRow&) { tables.m_ranges.Erase(id); });
-  tables.m_members.ForEach([](MemberId, MemberRow& row) { row.m_heard = {}; });
+  tables.m_members.ForEach(
+      [](MemberId, MemberRow& row) { row.m_last_heard_at = {}; });
 }
 
 // Strong hosts come first.
@@ -89,63 +90,67 @@
   return std::chrono::duration_cast<Duration>(kWeakHostPause * weakness);
 }
 
-void WriteLead(GatewayTables& tables, LeadRecord record, const Now& now) {
-  LeadState& lead = tables.m_lead;
-  lead.m_pending = std::move(record);
-  lead.m_pending_sent = now.m_boot;
-  lead.m_busy = true;
-  RowWrite write{kLeadTable, kLeadKey, lead.m_row_version,
-                 EncodeRecord(lead.m_pending)};
+void WriteLead(GatewayTables& tables,
+               LeaderLeaseRecord record,
+               const Now& now) {
+  LeaderLeaseState& lead = tables.m_leader_lease;
+  lead.m_pending_record = std::move(record);
+  lead.m_pending_sent_at = now.m_boot;
+  lead.m_call_in_flight = true;
+  RowWrite write{kLeaderLeaseTable, kLeaderLeaseKey, lead.m_row_version,
+                 EncodeRecord(lead.m_pending_record)};
   tables.m_outbox.emplace_back(WriteRowCommand{std::move(write)});
 }
 
 void ReadLead(GatewayTables& tables) {
-  tables.m_lead.m_busy = true;
-  tables.m_outbox.emplace_back(ReadRowCommand{kLeadTable, kLeadKey});
+  tables.m_leader_lease.m_call_in_flight = true;
+  tables.m_outbox.emplace_back(
+      ReadRowCommand{kLeaderLeaseTable, kLeaderLeaseKey});
 }
 
 // Nobody acts under the row any more: it was given back, its holder was an
 // earlier run of this very host, or it has not changed for its validity.
 bool IsFree(const GatewayTables& tables, const Now& now) {
-  const LeadState& lead = tables.m_lead;
+  const LeaderLeaseState& lead = tables.m_leader_lease;
   return lead.m_row_version == 0 || lead.m_record.m_released ||
          lead.m_record.m_address == tables.m_self.m_address ||
          now.m_steady - lead.m_unchanged_since >= tables.m_settings.m_lead_ttl;
 }
 
 void RunFollowing(GatewayTables& tables, const Now& now) {
-  LeadState& lead = tables.m_lead;
+  LeaderLeaseState& lead = tables.m_leader_lease;
   if (tables.m_stopping) {
     return;
   }
-  if (now.m_steady < lead.m_not_before) {
-    tables.WakeAt(lead.m_not_before);
+  if (now.m_steady < lead.m_next_acquire_at) {
+    tables.WakeAt(lead.m_next_acquire_at);
     return;
   }
   const Duration rank_delay =
       RankOfSelf(tables) * tables.m_settings.m_rank_delay;
-  const TimePoint silent_at =
-      lead.m_leader_heard + tables.m_settings.m_leader_silence + rank_delay;
-  if (lead.m_known && now.m_steady < silent_at) {
+  const TimePoint silent_at = lead.m_leader_last_heard_at +
+                              tables.m_settings.m_leader_silence + rank_delay;
+  if (lead.m_row_loaded && now.m_steady < silent_at) {
     tables.WakeAt(silent_at);
     return;
   }
-  const TimePoint first_try = tables.m_started + WeakHostPause(tables);
+  const TimePoint first_try = tables.m_started_at + WeakHostPause(tables);
   if (now.m_steady < first_try) {
     tables.WakeAt(first_try);
     return;
   }
-  if (now.m_steady < lead.m_next_operation) {
-    tables.WakeAt(lead.m_next_operation);
+  if (now.m_steady < lead.m_next_store_call_at) {
+    tables.WakeAt(lead.m_next_store_call_at);
     return;
   }
   // A row that is written on an old version does no harm: the write fails.
-  if (lead.m_known && !lead.m_uncertain && IsFree(tables, now)) {
-    LeadRecord record;
+  if (lead.m_row_loaded && !lead.m_write_outcome_unknown &&
+      IsFree(tables, now)) {
+    LeaderLeaseRecord record;
     record.m_address = tables.m_self.m_address;
     record.m_incarnation = tables.m_self.m_incarnation;
     record.m_epoch = lead.m_record.m_epoch + 1;
-    lead.m_phase = LeadPhase::kTaking;
+    lead.m_phase = LeaderLeasePhase::kAcquiring;
     WriteLead(tables, std::move(record), now);
     return;
   }
@@ -153,31 +158,31 @@
 }
 
 void RunLeading(GatewayTables& tables, const Now& now) {
-  LeadState& lead = tables.m_lead;
-  if (now.m_steady < lead.m_next_operation) {
-    tables.WakeAt(lead.m_next_operation);
+  LeaderLeaseState& lead = tables.m_leader_lease;
+  if (now.m_steady < lead.m_next_store_call_at) {
+    tables.WakeAt(lead.m_next_store_call_at);
     return;
   }
-  if (lead.m_uncertain) {
+  if (lead.m_write_outcome_unknown) {
     ReadLead(tables);
     return;
   }
-  LeadRecord record = lead.m_record;
+  LeaderLeaseRecord record = lead.m_record;
   ++record.m_renewals;
   record.m_released = tables.m_stopping || lead.m_resigning;
   WriteLead(tables, std::move(record), now);
 }
 
 void OnConfirmed(GatewayTables& tables, const Now& now) {
-  LeadState& lead = tables.m_lead;
+  LeaderLeaseState& lead = tables.m_leader_lease;
   const OwnershipSettings& settings = tables.m_settings;
-  lead.m_uncertain = false;
+  lead.m_write_outcome_unknown = false;
   lead.m_authority_until =
-      lead.m_pending_sent + settings.m_lead_ttl - settings.m_lead_margin;
-  lead.m_next_operation = now.m_steady + settings.m_lead_renewal;
-  if (lead.m_pending.m_released) {
+      lead.m_pending_sent_at + settings.m_lead_ttl - settings.m_lead_margin;
+  lead.m_next_store_call_at = now.m_steady + settings.m_lead_renewal;
+  if (lead.m_pending_record.m_released) {
     StopLeading(tables, EventNumber::kControlLeaseReleased, now);
-  } else if (lead.m_phase == LeadPhase::kTaking) {
+  } else if (lead.m_phase == LeaderLeasePhase::kAcquiring) {
     StartLeading(tables, now);
   }
 }
@@ -185,10 +190,10 @@
 }  // namespace
 
 void LeadershipSystem::Run(GatewayTables& tables, const Now& now) {
-  if (tables.m_lead.m_busy) {
+  if (tables.m_leader_lease.m_call_in_flight) {
     return;
   }
-  if (tables.m_lead.m_phase == LeadPhase::kLeading) {
+  if (tables.m_leader_lease.m_phase == LeaderLeasePhase::kLeader) {
     RunLeading(tables, now);
   } else {
     RunFollowing(tables, now);
@@ -198,84 +203,89 @@
 void LeadershipSystem::OnRead(GatewayTables& tables,
                               const RowsResult& result,
                               const Now& now) {
-  LeadState& lead = tables.m_lead;
-  lead.m_busy = false;
-  lead.m_next_operation = now.m_steady + tables.m_settings.m_lead_read;
+  LeaderLeaseState& lead = tables.m_leader_lease;
+  lead.m_call_in_flight = false;
+  lead.m_next_store_call_at = now.m_steady + tables.m_settings.m_lead_read;
   if (result.m_outcome != StoreOutcome::kDone) {
     return;
   }
-  LeadRecord record;
+  LeaderLeaseRecord record;
   uint64_t version = 0;
   if (!result.m_rows.empty()) {
     try {
-      record = DecodeLeadRecord(result.m_rows.front().m_value);
+      record = DecodeLeaderLeaseRecord(result.m_rows.front().m_value);
     } catch (const Error& failure) {
       // The row is of no use, but its version lets it be replaced in time.
-      NoteUnreadable(tables, kLeadTable, kLeadKey, failure.what());
+      LogUnreadableRow(tables, kLeaderLeaseTable, kLeaderLeaseKey,
+                       failure.what());
     }
     version = result.m_rows.front().m_version;
   }
-  const bool written = lead.m_uncertain && record == lead.m_pending;
+  const bool written =
+      lead.m_write_outcome_unknown && record == lead.m_pending_record;
   const bool moved = version != lead.m_row_version;
   AdoptRow(tables, record, version, now);
   if (written) {
     OnConfirmed(tables, now);
     return;
   }
-  lead.m_uncertain = false;
-  if (lead.m_phase == LeadPhase::kLeading && moved && !IsOwn(tables, record)) {
+  lead.m_write_outcome_unknown = false;
+  if (lead.m_phase == LeaderLeasePhase::kLeader && moved &&
+      !IsOwn(tables, record)) {
     StopLeading(tables, EventNumber::kControlLeaseLost, now);
-  } else if (lead.m_phase == LeadPhase::kTaking) {
-    lead.m_phase = LeadPhase::kFollowing;
+  } else if (lead.m_phase == LeaderLeasePhase::kAcquiring) {
+    lead.m_phase = LeaderLeasePhase::kFollower;
   }
-  if (lead.m_phase == LeadPhase::kLeading) {
-    lead.m_next_operation = now.m_steady;
+  if (lead.m_phase == LeaderLeasePhase::kLeader) {
+    lead.m_next_store_call_at = now.m_steady;
   }
 }
 
 void LeadershipSystem::OnWritten(GatewayTables& tables,
                                  const WriteResult& result,
                                  const Now& now) {
-  LeadState& lead = tables.m_lead;
-  lead.m_busy = false;
+  LeaderLeaseState& lead = tables.m_leader_lease;
+  lead.m_call_in_flight = false;
   if (result.m_outcome == StoreOutcome::kDone) {
-    AdoptRow(tables, lead.m_pending, result.m_version, now);
+    AdoptRow(tables, lead.m_pending_record, result.m_version, now);
     OnConfirmed(tables, now);
     return;
   }
-  lead.m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
+  lead.m_next_store_call_at = now.m_steady + tables.m_settings.m_store_retry;
   // After a mismatch somebody else wrote, or an earlier write of our own came
   // late; after no answer the write may still come. The row tells.
-  lead.m_uncertain = result.m_outcome == StoreOutcome::kMismatch ||
-                     result.m_outcome == StoreOutcome::kUnknown;
+  lead.m_write_outcome_unknown = result.m_outcome == StoreOutcome::kMismatch ||
+                                 result.m_outcome == StoreOutcome::kUnknown;
   if (result.m_outcome == StoreOutcome::kMismatch) {
-    lead.m_next_operation = now.m_steady;
+    lead.m_next_store_call_at = now.m_steady;
   }
-  if (lead.m_phase == LeadPhase::kTaking && !lead.m_uncertain) {
-    lead.m_phase = LeadPhase::kFollowing;
+  if (lead.m_phase == LeaderLeasePhase::kAcquiring &&
+      !lead.m_write_outcome_unknown) {
+    lead.m_phase = LeaderLeasePhase::kFollower;
   }
 }
 
-void LeadershipSystem::OnDigest(GatewayTables& tables,
-                                const LeaderDigest& digest,
-                                const Now& now) {
-  LeadState& lead = tables.m_lead;
+void LeadershipSystem::OnReportResponse(GatewayTables& tables,
+                                        const ReportResponse& digest,
+                                        const Now& now) {
+  LeaderLeaseState& lead = tables.m_leader_lease;
   if (digest.m_epoch < lead.m_record.m_epoch ||
-      lead.m_phase == LeadPhase::kLeading) {
+      lead.m_phase == LeaderLeasePhase::kLeader) {
     return;
   }
-  lead.m_leader_heard = digest.m_leaving ? TimePoint() : now.m_steady;
-  if (digest.m_lead_version > lead.m_row_version) {
+  lead.m_leader_last_heard_at =
+      digest.m_shutting_down ? TimePoint() : now.m_steady;
+  if (digest.m_leader_lease_version > lead.m_row_version) {
     lead.m_record.m_address = digest.m_address;
     lead.m_record.m_epoch = digest.m_epoch;
     lead.m_record.m_released = false;
-    lead.m_row_version = digest.m_lead_version;
+    lead.m_row_version = digest.m_leader_lease_version;
     lead.m_unchanged_since = now.m_steady;
-    lead.m_known = true;
+    lead.m_row_loaded = true;
   }
-  if (digest.m_leaving) {
-    lead.m_known = false;  // read the row before anything else
-    lead.m_next_operation = now.m_steady;
+  if (digest.m_shutting_down) {
+    lead.m_row_loaded = false;  // read the row before anything else
+    lead.m_next_store_call_at = now.m_steady;
   }
 }
 
--- a/src/gateway/leadership_system.h
+++ b/src/gateway/leadership_system.h
@@ -20,9 +20,9 @@
                         const Now& now);
 
   /// A leader's datagram arrived.
-  static void OnDigest(GatewayTables& tables,
-                       const LeaderDigest& digest,
-                       const Now& now);
+  static void OnReportResponse(GatewayTables& tables,
+                               const ReportResponse& digest,
+                               const Now& now);
 };
 
 }  // namespace foxtail
--- a/src/gateway/member_system.cc
+++ b/src/gateway/member_system.cc
@@ -17,17 +17,18 @@
 }
 
 void RegisterSelf(GatewayTables& tables, const Now& now) {
-  if (tables.m_member_listed || tables.m_member_busy || tables.m_stopping ||
-      tables.m_progress[kClusterRows].m_read_up_to == 0) {
+  if (tables.m_self_registered || tables.m_self_write_in_flight ||
+      tables.m_stopping ||
+      tables.m_progress[kClusterRows].m_applied_version == 0) {
     return;
   }
-  if (now.m_steady < tables.m_member_next) {
-    tables.WakeAt(tables.m_member_next);
+  if (now.m_steady < tables.m_next_self_write_at) {
+    tables.WakeAt(tables.m_next_self_write_at);
     return;
   }
-  tables.m_member_busy = true;
+  tables.m_self_write_in_flight = true;
   RowWrite write{kClusterTable, kMemberPrefix + tables.m_self.m_address,
-                 tables.m_member_version, EncodeRecord(tables.m_self)};
+                 tables.m_self_row_version, EncodeRecord(tables.m_self)};
   tables.m_outbox.emplace_back(WriteRowCommand{std::move(write)});
 }
 
@@ -39,16 +40,16 @@
     if (member.m_record.m_address == tables.m_self.m_address) {
       return;
     }
-    if (member.m_heard == TimePoint()) {
-      member.m_heard = now.m_steady;  // the lease is new: give it time
+    if (member.m_last_heard_at == TimePoint()) {
+      member.m_last_heard_at = now.m_steady;  // the lease is new: give it time
     }
     const TimePoint drop_at =
-        member.m_heard + tables.m_settings.m_member_silence;
+        member.m_last_heard_at + tables.m_settings.m_member_silence;
     if (now.m_steady < drop_at) {
       tables.WakeAt(drop_at);
       return;
     }
-    member.m_heard = now.m_steady;
+    member.m_last_heard_at = now.m_steady;
     RowWrite write{kClusterTable, kMemberPrefix + member.m_record.m_address,
                    member.m_row_version, std::nullopt};
     tables.m_outbox.emplace_back(WriteRowCommand{std::move(write)});
@@ -60,7 +61,7 @@
 double HeardPart(const GatewayTables& tables, const Now& now) {
   size_t heard = 0;
   tables.m_members.ForEach([&](MemberId, const MemberRow& member) {
-    const Duration silence = now.m_steady - member.m_heard;
+    const Duration silence = now.m_steady - member.m_last_heard_at;
     heard += silence < tables.m_settings.m_unheard_after ? 1 : 0;
   });
   const size_t listed = std::max<size_t>(1, tables.m_members.size());
@@ -95,7 +96,7 @@
         tables.m_services.Find(FindService(tables, load.m_service));
     for (const SliceLoad& slice : load.m_slices) {
       if (row && slice.m_slice < kSlices) {
-        row->m_counts[slice.m_slice] += slice.m_requests;
+        row->m_slice_requests[slice.m_slice] += slice.m_requests;
       }
     }
   }
@@ -108,19 +109,20 @@
 }
 
 void NoteProgress(GatewayTables& tables,
-                  const LeaderDigest& digest,
+                  const ReportResponse& digest,
                   const Now& now) {
   for (uint32_t kind = 0; kind < kWatchedKinds; ++kind) {
-    tables.m_progress[kind].NoteChange(digest.m_changes[kind], now.m_steady);
+    tables.m_progress[kind].RecordKnownVersion(
+        digest.m_last_change_versions[kind], now.m_steady);
   }
   // All changes that the leader knew of are known here, so this daemon's
   // knowledge is as fresh as the leader's was when it answered, which was after
   // the report was sent.
-  if (digest.m_changes[kOperatorRows] <=
-      tables.m_progress[kOperatorRows].m_read_up_to) {
+  if (digest.m_last_change_versions[kOperatorRows] <=
+      tables.m_progress[kOperatorRows].m_applied_version) {
     const BootTime read_at =
-        BootTime(BootTime::duration(digest.m_report_sent)) -
-        milliseconds(digest.m_operator_read_age);
+        BootTime(BootTime::duration(digest.m_report_sent_at)) -
+        milliseconds(digest.m_operator_read_age_ms);
     tables.m_operators_read_at = std::max(tables.m_operators_read_at, read_at);
   }
 }
@@ -139,11 +141,11 @@
   if (write.m_key != kMemberPrefix + tables.m_self.m_address) {
     return;  // a silent member was dropped; the watch reports it
   }
-  tables.m_member_busy = false;
-  tables.m_member_next = now.m_steady + tables.m_settings.m_store_retry;
+  tables.m_self_write_in_flight = false;
+  tables.m_next_self_write_at = now.m_steady + tables.m_settings.m_store_retry;
   if (result.m_outcome == StoreOutcome::kDone) {
-    tables.m_member_listed = write.m_value.has_value();
-    tables.m_member_version = result.m_version;
+    tables.m_self_registered = write.m_value.has_value();
+    tables.m_self_row_version = result.m_version;
   }
 }
 
@@ -153,20 +155,20 @@
   report.m_address = tables.m_self.m_address;
   report.m_incarnation = tables.m_self.m_incarnation;
   report.m_sequence = ++tables.m_report_sequence;
-  report.m_sent = now.m_boot.time_since_epoch().count();
-  if (tables.m_lead.m_phase == LeadPhase::kLeading) {
+  report.m_sent_at = now.m_boot.time_since_epoch().count();
+  if (tables.m_leader_lease.m_phase == LeaderLeasePhase::kLeader) {
     if (const auto digest = OnReport(tables, report, now)) {
-      OnDigest(tables, *digest, now);
+      OnReportResponse(tables, *digest, now);
     }
-  } else if (!tables.m_lead.m_record.m_address.empty()) {
-    tables.m_outbox.emplace_back(
-        SendCommand{{tables.m_lead.m_record.m_address}, std::move(report)});
+  } else if (!tables.m_leader_lease.m_record.m_address.empty()) {
+    tables.m_outbox.emplace_back(SendCommand{
+        {tables.m_leader_lease.m_record.m_address}, std::move(report)});
   }
 }
 
-std::optional<LeaderDigest> MemberSystem::OnReport(GatewayTables& tables,
-                                                   const MemberReport& report,
-                                                   const Now& now) {
+std::optional<ReportResponse> MemberSystem::OnReport(GatewayTables& tables,
+                                                     const MemberReport& report,
+                                                     const Now& now) {
   if (!tables.IsLeading(now)) {
     return std::nullopt;
   }
@@ -178,34 +180,35 @@
       report.m_sequence <= member->m_report_sequence) {
     return std::nullopt;
   }
-  member->m_heard = now.m_steady;
+  member->m_last_heard_at = now.m_steady;
   member->m_report_sequence = report.m_sequence;
   TakeLoads(tables, report);
-  LeaderDigest digest;
+  ReportResponse digest;
   digest.m_address = tables.m_self.m_address;
-  digest.m_epoch = tables.m_lead.m_record.m_epoch;
+  digest.m_epoch = tables.m_leader_lease.m_record.m_epoch;
   digest.m_sequence = report.m_sequence;
-  digest.m_report_sent = report.m_sent;
-  digest.m_lead_version = tables.m_lead.m_row_version;
-  digest.m_leaving = tables.m_stopping;
+  digest.m_report_sent_at = report.m_sent_at;
+  digest.m_leader_lease_version = tables.m_leader_lease.m_row_version;
+  digest.m_shutting_down = tables.m_stopping;
   digest.m_relaying =
       !tables.m_stopping && RelaySystem::IsRelaying(tables, now);
   for (uint32_t kind = 0; kind < kWatchedKinds; ++kind) {
-    digest.m_changes[kind] = tables.m_progress[kind].m_newest_change;
+    digest.m_last_change_versions[kind] =
+        tables.m_progress[kind].m_last_change_version;
   }
   // One more than the whole milliseconds, so that it is never too young.
-  digest.m_operator_read_age =
+  digest.m_operator_read_age_ms =
       WholeMilliseconds(now.m_boot - tables.m_operators_read_at) + 1;
-  digest.m_servers_contact_age =
+  digest.m_servers_contact_age_ms =
       WholeMilliseconds(now.m_steady - tables.m_servers_contact_since);
   digest.m_tokens = ServeTokens(tables, report, now);
   return digest;
 }
 
-void MemberSystem::OnDigest(GatewayTables& tables,
-                            const LeaderDigest& digest,
-                            const Now& now) {
-  if (digest.m_epoch < tables.m_lead.m_record.m_epoch) {
+void MemberSystem::OnReportResponse(GatewayTables& tables,
+                                    const ReportResponse& digest,
+                                    const Now& now) {
+  if (digest.m_epoch < tables.m_leader_lease.m_record.m_epoch) {
     return;
   }
   NoteProgress(tables, digest, now);
@@ -214,12 +217,12 @@
     tables.m_relayed_until = now.m_steady + tables.m_settings.m_relay_silence;
     // The rows are the leader's, so its contact with the store counts.
     tables.m_servers_contact_since =
-        now.m_steady - milliseconds(digest.m_servers_contact_age);
+        now.m_steady - milliseconds(digest.m_servers_contact_age_ms);
   }
   // The clocks of this process tell how long ago the report was sent.
   const Duration ago =
-      now.m_boot - BootTime(BootTime::duration(digest.m_report_sent));
-  tables.m_leader_words.push_back({digest.m_tokens, now.m_steady - ago});
+      now.m_boot - BootTime(BootTime::duration(digest.m_report_sent_at));
+  tables.m_leader_tokens.push_back({digest.m_tokens, now.m_steady - ago});
 }
 
 }  // namespace foxtail
--- a/src/gateway/member_system.h
+++ b/src/gateway/member_system.h
@@ -22,14 +22,14 @@
                          const Now& now);
 
   /// At the leader: a member's report arrived. Returns the answer, if any.
-  static std::optional<LeaderDigest> OnReport(GatewayTables& tables,
-                                              const MemberReport& report,
-                                              const Now& now);
+  static std::optional<ReportResponse> OnReport(GatewayTables& tables,
+                                                const MemberReport& report,
+                                                const Now& now);
 
   /// The leader's answer arrived.
-  static void OnDigest(GatewayTables& tables,
-                       const LeaderDigest& digest,
-                       const Now& now);
+  static void OnReportResponse(GatewayTables& tables,
+                               const ReportResponse& digest,
+                               const Now& now);
 };
 
 }  // namespace foxtail
--- a/src/gateway/owners_system.cc
+++ b/src/gateway/owners_system.cc
@@ -36,14 +36,14 @@
     row.m_range = owned.m_range;
     row.m_owner = owned.m_server;
     row.m_owner_incarnation = owned.m_incarnation;
-    row.m_may_hold = true;
-    row.m_previous = owned.m_previous;
-    row.m_fence = ++tables.m_lead.m_last_fence;
+    row.m_may_be_granted = true;
+    row.m_previous_owners = owned.m_previous_owners;
+    row.m_fence = ++tables.m_leader_lease.m_last_fence;
     row.m_phase = RangePhase::kRecording;
     row.m_record_number = record.m_number + 1;
-    row.m_held_until = held_until;
-    row.m_unanswered_until = held_until;
-    row.m_move_started = now.m_steady;
+    row.m_granted_until = held_until;
+    row.m_late_grant_until = held_until;
+    row.m_move_started_at = now.m_steady;
     tables.m_ranges.Insert(std::move(row));
   }
 }
@@ -52,13 +52,13 @@
                          ServiceId id,
                          uint64_t number) {
   OwnersRecord record;
-  record.m_epoch = tables.m_lead.m_record.m_epoch;
+  record.m_epoch = tables.m_leader_lease.m_record.m_epoch;
   record.m_number = number;
   tables.m_ranges.ForEach([&](RangeId, const RangeRow& row) {
     if (row.m_service == id) {
       record.m_ranges.push_back(
           {row.m_range, row.m_owner, row.m_owner_incarnation,
-           row.m_phase == RangePhase::kSettled, row.m_previous});
+           row.m_phase == RangePhase::kStable, row.m_previous_owners});
     }
   });
   std::ranges::sort(record.m_ranges, {}, &OwnedRange::m_range);
@@ -66,7 +66,7 @@
 }
 
 void WriteOwners(GatewayTables& tables, ServiceId id, ServiceRow& service) {
-  service.m_busy = true;
+  service.m_call_in_flight = true;
   service.m_dirty = false;
   const OwnersRecord record =
       BuildRecord(tables, id, ++service.m_record_number);
@@ -76,7 +76,7 @@
 }
 
 void ReadOwners(GatewayTables& tables, ServiceRow& service) {
-  service.m_busy = true;
+  service.m_call_in_flight = true;
   tables.m_outbox.emplace_back(ReadRowCommand{kClusterTable, KeyOf(service)});
 }
 
@@ -85,9 +85,9 @@
   tables.m_ranges.ForEach([&](RangeId, RangeRow& row) {
     if (row.m_service == id && row.m_phase == RangePhase::kRecording &&
         row.m_record_number <= number) {
-      row.m_phase = row.m_previous.empty() ? RangePhase::kGranting
-                                           : RangePhase::kReleasing;
-      row.m_next_order = TimePoint();
+      row.m_phase = row.m_previous_owners.empty() ? RangePhase::kGranting
+                                                  : RangePhase::kReleasing;
+      row.m_next_server_call_at = TimePoint();
     }
   });
 }
@@ -100,13 +100,13 @@
   }
   AddServices(tables);
   tables.m_services.ForEach([&](ServiceId id, ServiceRow& service) {
-    const bool due = !service.m_known || service.m_dirty;
-    if (service.m_busy || !due) {
+    const bool due = !service.m_row_loaded || service.m_dirty;
+    if (service.m_call_in_flight || !due) {
       return;
     }
-    if (now.m_steady < service.m_next_operation) {
-      tables.WakeAt(service.m_next_operation);
-    } else if (!service.m_known || service.m_uncertain) {
+    if (now.m_steady < service.m_next_store_call_at) {
+      tables.WakeAt(service.m_next_store_call_at);
+    } else if (!service.m_row_loaded || service.m_write_outcome_unknown) {
       ReadOwners(tables, service);
     } else {
       WriteOwners(tables, id, service);
@@ -123,8 +123,9 @@
   if (!service) {
     return;
   }
-  service->m_busy = false;
-  service->m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
+  service->m_call_in_flight = false;
+  service->m_next_store_call_at =
+      now.m_steady + tables.m_settings.m_store_retry;
   if (result.m_outcome != StoreOutcome::kDone) {
     return;
   }
@@ -133,19 +134,19 @@
     try {
       record = DecodeOwnersRecord(result.m_rows.front().m_value);
     } catch (const Error& failure) {
-      NoteUnreadable(tables, kClusterTable, KeyOf(*service), failure.what());
+      LogUnreadableRow(tables, kClusterTable, KeyOf(*service), failure.what());
       return;
     }
     service->m_row_version = result.m_rows.front().m_version;
   }
-  service->m_next_operation = now.m_steady;
-  if (service->m_uncertain) {
+  service->m_next_store_call_at = now.m_steady;
+  if (service->m_write_outcome_unknown) {
     // Only the version matters: what the ranges should be is known here.
-    service->m_uncertain = false;
+    service->m_write_outcome_unknown = false;
     service->m_dirty = true;
     return;
   }
-  service->m_known = true;
+  service->m_row_loaded = true;
   service->m_record_number = record.m_number;
   RestoreRanges(tables, id, record, now);
   service->m_dirty = !record.m_ranges.empty();
@@ -160,22 +161,26 @@
   if (!service) {
     return;
   }
-  service->m_busy = false;
+  service->m_call_in_flight = false;
   if (result.m_outcome == StoreOutcome::kDone) {
     service->m_row_version = result.m_version;
-    tables.m_progress[kClusterRows].NoteChange(result.m_version, now.m_steady);
+    tables.m_progress[kClusterRows].RecordKnownVersion(result.m_version,
+                                                       now.m_steady);
     Advance(tables, id, service->m_record_number);
-    tables.m_events.push_back({EventNumber::kAssignmentRecorded,
-                               {{"cell", service->m_name},
-                                {"epoch", tables.m_lead.m_record.m_epoch},
-                                {"version", service->m_record_number},
-                                {"moves", 0}}});
+    tables.m_events.push_back(
+        {EventNumber::kAssignmentRecorded,
+         {{"cell", service->m_name},
+          {"epoch", tables.m_leader_lease.m_record.m_epoch},
+          {"version", service->m_record_number},
+          {"moves", 0}}});
     return;
   }
   service->m_dirty = true;
-  service->m_uncertain = result.m_outcome == StoreOutcome::kMismatch ||
-                         result.m_outcome == StoreOutcome::kUnknown;
-  service->m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
+  service->m_write_outcome_unknown =
+      result.m_outcome == StoreOutcome::kMismatch ||
+      result.m_outcome == StoreOutcome::kUnknown;
+  service->m_next_store_call_at =
+      now.m_steady + tables.m_settings.m_store_retry;
 }
 
 }  // namespace foxtail
--- a/src/gateway/packed_owners.cc
+++ b/src/gateway/packed_owners.cc
@@ -38,9 +38,9 @@
         {static_cast<uint16_t>(owned.m_range.m_first),
          static_cast<uint16_t>(owned.m_range.m_last),
          IndexOf(packed.m_servers, {owned.m_server, owned.m_incarnation}),
-         owned.m_settled});
-    for (const std::string& server : owned.m_previous) {
-      packed.m_previous.emplace_back(index, server);
+         owned.m_grant_confirmed});
+    for (const std::string& server : owned.m_previous_owners) {
+      packed.m_previous_owners.emplace_back(index, server);
     }
   }
   return packed;
@@ -55,11 +55,11 @@
     record.m_ranges.push_back({{range.m_first, range.m_last},
                                server.m_id,
                                server.m_incarnation,
-                               range.m_settled,
+                               range.m_grant_confirmed,
                                {}});
   }
-  for (const auto& [index, server] : packed.m_previous) {
-    RowAt(record.m_ranges, index).m_previous.push_back(server);
+  for (const auto& [index, server] : packed.m_previous_owners) {
+    RowAt(record.m_ranges, index).m_previous_owners.push_back(server);
   }
   return record;
 }
--- a/src/gateway/packed_owners.h
+++ b/src/gateway/packed_owners.h
@@ -22,7 +22,7 @@
   uint16_t m_first = 0;
   uint16_t m_last = 0;
   uint16_t m_server = 0;
-  bool m_settled = false;
+  bool m_grant_confirmed = false;
 };
 
 /// An owners record as it is stored and sent: each server is named once, since
@@ -35,7 +35,7 @@
 
   /// Index of a range, and id of a server whose earlier right to it may not
   /// have ended.
-  std::vector<std::pair<uint16_t, std::string>> m_previous;
+  std::vector<std::pair<uint16_t, std::string>> m_previous_owners;
 };
 
 /// Packs a record.
--- a/src/gateway/grant_order_system.cc
+++ b/src/gateway/range_grant_system.cc
@@ -1,4 +1,4 @@
-#include "gateway/grant_order_system.h"
+#include "gateway/range_grant_system.h"
 
 #include <algorithm>
 
@@ -24,13 +24,15 @@
                  const RangeRow& row,
                  const Now& now) {
   const OwnershipSettings& settings = tables.m_settings;
-  const Duration hold =
-      tables.m_lead.m_outage_holds ? settings.m_outage_hold : settings.m_hold;
-  if (server.m_failed_orders == 0 || row.m_phase == RangePhase::kGranting) {
+  const Duration hold = tables.m_leader_lease.m_outage_ttl_active
+                            ? settings.m_outage_hold
+                            : settings.m_grant_ttl;
+  if (server.m_consecutive_failures == 0 ||
+      row.m_phase == RangePhase::kGranting) {
     return hold;
   }
   const Duration left =
-      row.m_held_until - now.m_steady - settings.m_order_timeout;
+      row.m_granted_until - now.m_steady - settings.m_order_timeout;
   return std::min(hold, std::chrono::duration_cast<Duration>(
                             left / (1 + settings.m_clock_drift)));
 }
@@ -44,17 +46,17 @@
   const Duration hold =
       server ? HoldFor(tables, *server, row, now) : Duration();
   if (hold < settings.m_shortest_hold) {
-    row.m_next_order = now.m_steady + settings.m_order_retry;
+    row.m_next_server_call_at = now.m_steady + settings.m_order_retry;
     return;
   }
   // The time counts from the arrival of the order, which is at the latest when
   // the call is given up.
-  row.m_held_before = row.m_held_until;
-  row.m_held_until =
-      std::max(row.m_held_until, now.m_steady + settings.m_order_timeout +
-                                     LongestHold(settings, hold));
-  row.m_busy = true;
-  row.m_may_hold = true;
+  row.m_prior_granted_until = row.m_granted_until;
+  row.m_granted_until =
+      std::max(row.m_granted_until, now.m_steady + settings.m_order_timeout +
+                                        LongestHold(settings, hold));
+  row.m_call_in_flight = true;
+  row.m_may_be_granted = true;
   if (row.m_fenced_server == row.m_owner) {
     row.m_fenced_server.clear();
   }
@@ -73,8 +75,8 @@
                    RangeId id,
                    RangeRow& row,
                    const BackendServerEntry& previous) {
-  const uint64_t fence = ++tables.m_lead.m_last_fence;
-  row.m_fence = ++tables.m_lead.m_last_fence;
+  const uint64_t fence = ++tables.m_leader_lease.m_last_fence;
+  row.m_fence = ++tables.m_leader_lease.m_last_fence;
   tables.m_outbox.emplace_back(
       GrantCommand{id, previous.m_id, previous.m_address, row.m_range, fence,
                    tables.m_settings.m_fencing_hold, ""});
@@ -84,31 +86,31 @@
                    RangeId id,
                    RangeRow& row,
                    const Now& now) {
-  if (row.m_previous.empty() || now.m_steady >= row.m_held_until) {
-    row.m_previous.clear();
+  if (row.m_previous_owners.empty() || now.m_steady >= row.m_granted_until) {
+    row.m_previous_owners.clear();
     row.m_phase = RangePhase::kGranting;
     SendGrant(tables, id, row, now);
     return;
   }
-  tables.WakeAt(row.m_held_until);
-  const ServerRow* previous = FindServer(tables, row.m_previous.back());
+  tables.WakeAt(row.m_granted_until);
+  const ServerRow* previous = FindServer(tables, row.m_previous_owners.back());
   const OwnershipSettings& settings = tables.m_settings;
   // An order that may have an effect beyond the lapse would delay it.
   const Duration longest_effect =
       settings.m_order_timeout + LongestHold(settings, settings.m_fencing_hold);
-  if (!previous || row.m_held_until - now.m_steady < longest_effect) {
-    row.m_next_order = row.m_held_until;
+  if (!previous || row.m_granted_until - now.m_steady < longest_effect) {
+    row.m_next_server_call_at = row.m_granted_until;
     return;
   }
-  row.m_busy = true;
+  row.m_call_in_flight = true;
   const BackendServerEntry& entry = previous->m_entry;
-  if (now.m_steady < row.m_unanswered_until &&
+  if (now.m_steady < row.m_late_grant_until &&
       row.m_fenced_server != entry.m_id && row.m_owner != entry.m_id) {
     FencePrevious(tables, id, row, entry);
     return;
   }
   const Duration timeout =
-      std::min(settings.m_release_timeout, row.m_held_until - now.m_steady);
+      std::min(settings.m_release_timeout, row.m_granted_until - now.m_steady);
   // A release is never refused, whatever its token.
   tables.m_outbox.emplace_back(ReleaseCommand{
       id, entry.m_id, entry.m_address, row.m_range, row.m_fence, timeout});
@@ -124,7 +126,7 @@
     {RangePhase::kRecording, &StepWaiting},
     {RangePhase::kReleasing, &StepReleasing},
     {RangePhase::kGranting, &SendGrant},
-    {RangePhase::kSettled, &SendGrant},
+    {RangePhase::kStable, &SendGrant},
 }};
 
 Step StepOf(RangePhase phase) {
@@ -133,7 +135,7 @@
 
 bool HasOrder(RangePhase phase) {
   return phase == RangePhase::kReleasing || phase == RangePhase::kGranting ||
-         phase == RangePhase::kSettled;
+         phase == RangePhase::kStable;
 }
 
 // A server that started again under its id holds nothing, and takes keys only
@@ -145,26 +147,26 @@
     return;
   }
   row.m_owner_incarnation = server->m_entry.m_incarnation;
-  row.m_fence = ++tables.m_lead.m_last_fence;
-  row.m_next_order = TimePoint();
+  row.m_fence = ++tables.m_leader_lease.m_last_fence;
+  row.m_next_server_call_at = TimePoint();
 }
 
 void AskForOutageHolds(GatewayTables& tables, const Now& now) {
-  LeadState& lead = tables.m_lead;
+  LeaderLeaseState& lead = tables.m_leader_lease;
   const Duration left = lead.m_authority_until - now.m_boot;
   if (left > kOutageSign) {
-    lead.m_outage_holds = false;
+    lead.m_outage_ttl_active = false;
     tables.WakeAt(now.m_steady + (left - kOutageSign));
     return;
   }
-  if (lead.m_outage_holds) {
+  if (lead.m_outage_ttl_active) {
     return;
   }
-  lead.m_outage_holds = true;
+  lead.m_outage_ttl_active = true;
   tables.m_events.push_back({EventNumber::kOutageHolds, {}});
   tables.m_ranges.ForEach([](RangeId, RangeRow& row) {
-    if (row.m_phase == RangePhase::kSettled) {
-      row.m_next_order = TimePoint();
+    if (row.m_phase == RangePhase::kStable) {
+      row.m_next_server_call_at = TimePoint();
     }
   });
 }
@@ -176,29 +178,30 @@
   size_t failing = 0;
   tables.m_servers.ForEach([&](ServerId, const ServerRow& server) {
     owners += IsEligible(server) ? 1 : 0;
-    failing += IsEligible(server) && server.m_failed_orders > 1 ? 1 : 0;
+    failing += IsEligible(server) && server.m_consecutive_failures > 1 ? 1 : 0;
   });
-  if (failing >= 3 && failing * 2 > owners && !tables.m_lead.m_resigning) {
-    tables.m_lead.m_resigning = true;
-    tables.m_lead.m_next_operation = TimePoint();
+  if (failing >= 3 && failing * 2 > owners &&
+      !tables.m_leader_lease.m_resigning) {
+    tables.m_leader_lease.m_resigning = true;
+    tables.m_leader_lease.m_next_store_call_at = TimePoint();
   }
 }
 
 void NoteOrder(GatewayTables& tables,
                const std::string& server_id,
-               OrderOutcome outcome,
+               ServerCallOutcome outcome,
                const Now& now) {
   ServerRow* server = FindServer(tables, server_id);
   if (!server) {
     return;
   }
-  const bool failed =
-      outcome == OrderOutcome::kUnknown || outcome == OrderOutcome::kGone;
+  const bool failed = outcome == ServerCallOutcome::kUnknown ||
+                      outcome == ServerCallOutcome::kGone;
   if (!failed) {
-    server->m_failed_orders = 0;
+    server->m_consecutive_failures = 0;
     return;
   }
-  if (server->m_failed_orders++ == 0) {
+  if (server->m_consecutive_failures++ == 0) {
     server->m_failing_since = now.m_steady;
     tables.m_events.push_back(
         {EventNumber::kServerDown,
@@ -209,15 +212,15 @@
 void NoteSettled(GatewayTables& tables, RangeRow& row, const Now& now) {
   ServiceRow& service = tables.m_services.Get(row.m_service);
   if (!service.m_dirty) {
-    service.m_next_operation =
-        std::max(service.m_next_operation,
+    service.m_next_store_call_at =
+        std::max(service.m_next_store_call_at,
                  now.m_steady + tables.m_settings.m_settle_gather);
   }
   service.m_dirty = true;
-  row.m_phase = RangePhase::kSettled;
+  row.m_phase = RangePhase::kStable;
   row.m_handover.clear();
   const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(
-      now.m_steady - row.m_move_started);
+      now.m_steady - row.m_move_started_at);
   tables.m_events.push_back({EventNumber::kPartitionMoveFinished,
                              {{"cell", service.m_name},
                               {"partition", NameOf(row.m_range)},
@@ -228,11 +231,11 @@
 
 void OnPreviousFenced(RangeRow& row,
                       const GrantCommand& command,
-                      OrderOutcome outcome,
+                      ServerCallOutcome outcome,
                       const OwnershipSettings& settings,
                       const Now& now) {
-  const bool fenced = outcome == OrderOutcome::kDone;
-  row.m_next_order =
+  const bool fenced = outcome == ServerCallOutcome::kDone;
+  row.m_next_server_call_at =
       now.m_steady + (fenced ? Duration() : settings.m_order_retry);
   if (fenced) {
     row.m_fenced_server = command.m_server;
@@ -241,46 +244,46 @@
 
 }  // namespace
 
-void GrantOrderSystem::Run(GatewayTables& tables, const Now& now) {
+void RangeGrantSystem::Run(GatewayTables& tables, const Now& now) {
   if (!tables.IsLeading(now)) {
     return;
   }
   AskForOutageHolds(tables, now);
   ResignIfCutOff(tables);
   tables.m_ranges.ForEach([&](RangeId id, RangeRow& row) {
-    if (row.m_busy) {
+    if (row.m_call_in_flight) {
       return;
     }
     NoteRestart(tables, row);
-    if (now.m_steady >= row.m_next_order) {
+    if (now.m_steady >= row.m_next_server_call_at) {
       StepOf(row.m_phase)(tables, id, row, now);
     } else if (HasOrder(row.m_phase)) {
-      tables.WakeAt(row.m_next_order);
+      tables.WakeAt(row.m_next_server_call_at);
     }
   });
 }
 
-void GrantOrderSystem::OnGranted(GatewayTables& tables,
+void RangeGrantSystem::OnGranted(GatewayTables& tables,
                                  const GrantCommand& command,
-                                 OrderOutcome outcome,
+                                 ServerCallOutcome outcome,
                                  const Now& now) {
   RangeRow* row = tables.m_ranges.Find(command.m_range);
   if (!row) {
     return;
   }
   const OwnershipSettings& settings = tables.m_settings;
-  row->m_busy = false;
+  row->m_call_in_flight = false;
   NoteOrder(tables, command.m_server, outcome, now);
-  if (outcome == OrderOutcome::kUnknown) {
-    row->m_unanswered_until =
-        std::max(row->m_unanswered_until, row->m_held_until);
+  if (outcome == ServerCallOutcome::kUnknown) {
+    row->m_late_grant_until =
+        std::max(row->m_late_grant_until, row->m_granted_until);
   }
   if (command.m_server != row->m_owner) {
     OnPreviousFenced(*row, command, outcome, settings, now);
     return;
   }
-  if (outcome != OrderOutcome::kDone) {
-    row->m_next_order = now.m_steady + settings.m_order_retry;
+  if (outcome != ServerCallOutcome::kDone) {
+    row->m_next_server_call_at = now.m_steady + settings.m_order_retry;
     tables.m_events.push_back({EventNumber::kOrderFailed,
                                {{"order", "grant"},
                                 {"server", command.m_server},
@@ -288,37 +291,39 @@
                                 {"epoch", command.m_fence},
                                 {"outcome", NameOf(outcome)}}});
   }
-  if (outcome == OrderOutcome::kFenced && row->m_fence == command.m_fence) {
+  if (outcome == ServerCallOutcome::kFenced &&
+      row->m_fence == command.m_fence) {
     // An older order of a leader before, or of this one, came late.
-    row->m_fence = ++tables.m_lead.m_last_fence;
-    row->m_next_order = now.m_steady;
+    row->m_fence = ++tables.m_leader_lease.m_last_fence;
+    row->m_next_server_call_at = now.m_steady;
   }
-  if (outcome != OrderOutcome::kDone || row->m_fence != command.m_fence) {
+  if (outcome != ServerCallOutcome::kDone || row->m_fence != command.m_fence) {
     return;
   }
-  row->m_held_until = std::max(
-      row->m_held_before, now.m_steady + LongestHold(settings, command.m_hold));
-  row->m_next_order = now.m_steady + settings.m_renewal;
+  row->m_granted_until =
+      std::max(row->m_prior_granted_until,
+               now.m_steady + LongestHold(settings, command.m_grant_ttl));
+  row->m_next_server_call_at = now.m_steady + settings.m_renewal;
   if (row->m_phase == RangePhase::kGranting) {
     NoteSettled(tables, *row, now);
   }
 }
 
-void GrantOrderSystem::OnReleased(GatewayTables& tables,
+void RangeGrantSystem::OnReleased(GatewayTables& tables,
                                   const ReleaseCommand& command,
-                                  OrderOutcome outcome,
+                                  ServerCallOutcome outcome,
                                   const std::string& handover,
                                   const Now& now) {
   RangeRow* row = tables.m_ranges.Find(command.m_range);
   if (!row) {
     return;
   }
-  row->m_busy = false;
-  row->m_next_order = now.m_steady + tables.m_settings.m_order_retry;
-  if (outcome == OrderOutcome::kDone) {
+  row->m_call_in_flight = false;
+  row->m_next_server_call_at = now.m_steady + tables.m_settings.m_order_retry;
+  if (outcome == ServerCallOutcome::kDone) {
     row->m_handover = handover.empty() ? row->m_handover : handover;
-    std::erase(row->m_previous, command.m_server);
-    row->m_next_order = TimePoint();
+    std::erase(row->m_previous_owners, command.m_server);
+    row->m_next_server_call_at = TimePoint();
     return;
   }
   tables.m_events.push_back({EventNumber::kOrderFailed,
--- a/src/gateway/grant_order_system.h
+++ b/src/gateway/range_grant_system.h
@@ -5,20 +5,20 @@
 namespace foxtail {
 
 /// At the leader: carries moves through their phases and renews grants.
-class GrantOrderSystem {
+class RangeGrantSystem {
  public:
   static void Run(GatewayTables& tables, const Now& now);
 
   /// A grant ended.
   static void OnGranted(GatewayTables& tables,
                         const GrantCommand& command,
-                        OrderOutcome outcome,
+                        ServerCallOutcome outcome,
                         const Now& now);
 
   /// A release ended.
   static void OnReleased(GatewayTables& tables,
                          const ReleaseCommand& command,
-                         OrderOutcome outcome,
+                         ServerCallOutcome outcome,
                          const std::string& handover,
                          const Now& now);
 };
--- a/src/gateway/range_placement_system.cc
+++ b/src/gateway/range_placement_system.cc
@@ -28,18 +28,19 @@
 constexpr double kUnknownSeconds = 0.1;
 
 void SmoothLoads(ServiceRow& service, const Now& now) {
-  const Duration passed = now.m_steady - service.m_smoothed;
+  const Duration passed = now.m_steady - service.m_last_smoothed_at;
   if (passed < kSmoothingStep) {
     return;
   }
-  const bool first = service.m_smoothed == TimePoint();
+  const bool first = service.m_last_smoothed_at == TimePoint();
   const double gain = 1 - std::exp(-ToSeconds(passed) / ToSeconds(kSmoothing));
-  service.m_smoothed = now.m_steady;
+  service.m_last_smoothed_at = now.m_steady;
   for (uint32_t i = 0; i < kSlices; ++i) {
-    const double rate = first ? 0 : service.m_counts[i] / ToSeconds(passed);
-    service.m_loads[i] +=
-        static_cast<float>(gain * (rate - service.m_loads[i]));
-    service.m_counts[i] = 0;
+    const double rate =
+        first ? 0 : service.m_slice_requests[i] / ToSeconds(passed);
+    service.m_slice_rates[i] +=
+        static_cast<float>(gain * (rate - service.m_slice_rates[i]));
+    service.m_slice_requests[i] = 0;
   }
 }
 
@@ -72,7 +73,7 @@
   for (const auto& [id, server_id] : tables.m_servers_by_id) {
     const ServerRow& server = tables.m_servers.Get(server_id);
     if (server.m_entry.m_service != service || !IsEligible(server) ||
-        server.m_failed_orders > 0) {
+        server.m_consecutive_failures > 0) {
       continue;
     }
     const double seconds =
@@ -85,7 +86,8 @@
 }
 
 double DemandOf(const ServiceRow& service) {
-  return std::accumulate(service.m_loads.begin(), service.m_loads.end(), 0.0);
+  return std::accumulate(service.m_slice_rates.begin(),
+                         service.m_slice_rates.end(), 0.0);
 }
 
 SliceWeights WeightsOf(const ServiceRow& service, double demand) {
@@ -93,7 +95,7 @@
     return {};
   }
   // Exponential smoothing counts for twice its time constant.
-  return {service.m_loads, demand * 2 * ToSeconds(kSmoothing)};
+  return {service.m_slice_rates, demand * 2 * ToSeconds(kSmoothing)};
 }
 
 struct ServiceRanges {
@@ -122,7 +124,7 @@
     const bool kept = row.m_phase != RangePhase::kUnowned &&
                       MayKeepKeys(tables, row.m_owner, now);
     found.m_moving =
-        found.m_moving || (kept && row.m_phase != RangePhase::kSettled);
+        found.m_moving || (kept && row.m_phase != RangePhase::kStable);
     found.m_orphaned = found.m_orphaned || !kept;
     found.m_planned.push_back({row.m_range, kept ? row.m_owner : ""});
   }
@@ -147,21 +149,21 @@
                const Now& now) {
   RangeRow row = whole;
   row.m_range = planned.m_range;
-  row.m_busy = false;
+  row.m_call_in_flight = false;
   if (planned.m_owner == whole.m_owner) {
     return row;
   }
-  if (whole.m_may_hold) {
-    row.m_previous.push_back(whole.m_owner);
+  if (whole.m_may_be_granted) {
+    row.m_previous_owners.push_back(whole.m_owner);
   }
-  row.m_may_hold = false;
+  row.m_may_be_granted = false;
   row.m_owner = planned.m_owner;
   const ServerRow* server = FindServer(tables, planned.m_owner);
   row.m_owner_incarnation = server ? server->m_entry.m_incarnation : 0;
   row.m_handover.clear();
   row.m_phase = RangePhase::kRecording;
   row.m_record_number = record_number;
-  row.m_move_started = now.m_steady;
+  row.m_move_started_at = now.m_steady;
   return row;
 }
 
@@ -185,7 +187,7 @@
         !pieces[0].m_owner.empty()) {
       continue;
     }
-    if (whole.m_busy) {
+    if (whole.m_call_in_flight) {
       continue;  // an order about it is on its way; planned again after it
     }
     tables.m_ranges.Erase(ranges.m_ids[i]);
@@ -193,7 +195,7 @@
       RangeRow row =
           Piece(tables, whole, piece, service.m_record_number + 1, now);
       if (row.m_owner != whole.m_owner) {
-        row.m_fence = ++tables.m_lead.m_last_fence;
+        row.m_fence = ++tables.m_leader_lease.m_last_fence;
         tables.m_events.push_back({EventNumber::kPartitionMoveStarted,
                                    {{"cell", service.m_name},
                                     {"partition", NameOf(piece.m_range)},
@@ -212,8 +214,8 @@
   RangeRow row;
   row.m_service = service;
   row.m_range = {0, kShardKeys - 1};
-  row.m_fence = ++tables.m_lead.m_last_fence;
-  row.m_move_started = now.m_steady;
+  row.m_fence = ++tables.m_leader_lease.m_last_fence;
+  row.m_move_started_at = now.m_steady;
   tables.m_ranges.Insert(std::move(row));
 }
 
@@ -226,7 +228,7 @@
   static const RelievePlanner relieve;
   ServiceRow& service = tables.m_services.Get(id);
   SmoothLoads(service, now);
-  if (service.m_busy) {
+  if (service.m_call_in_flight) {
     return;  // the record's number is taken
   }
   ServiceRanges ranges = RangesOf(tables, id, now);
@@ -241,10 +243,10 @@
   if (ranges.m_moving && !ranges.m_orphaned) {
     return;
   }
-  const bool relief_due = now.m_steady >= service.m_next_rebalance;
+  const bool relief_due = now.m_steady >= service.m_next_rebalance_at;
   if (!relief_due && !ranges.m_orphaned &&
       !HasServerWithoutKeys(ranges, servers)) {
-    tables.WakeAt(service.m_next_rebalance);
+    tables.WakeAt(service.m_next_rebalance_at);
     return;
   }
   const double demand = DemandOf(service);
@@ -254,10 +256,10 @@
       fill.Plan(ranges.m_planned, servers, weights);
   if (plan == ranges.m_planned) {
     if (!relief_due) {
-      tables.WakeAt(service.m_next_rebalance);
+      tables.WakeAt(service.m_next_rebalance_at);
       return;
     }
-    service.m_next_rebalance = now.m_steady + tables.m_settings.m_rebalance;
+    service.m_next_rebalance_at = now.m_steady + tables.m_settings.m_rebalance;
     plan = relieve.Plan(ranges.m_planned, servers, weights);
   }
   if (plan != ranges.m_planned) {
@@ -274,7 +276,7 @@
   if (!server || !IsEligible(*server)) {
     return false;
   }
-  return server->m_failed_orders == 0 ||
+  return server->m_consecutive_failures == 0 ||
          now.m_steady - server->m_failing_since <
              tables.m_settings.m_unreachable_after;
 }
@@ -282,7 +284,7 @@
 void RangePlacementSystem::Run(GatewayTables& tables, const Now& now) {
   const TimePoint gathered =
       tables.m_servers_contact_since + tables.m_settings.m_gather;
-  if (!tables.m_servers_read || !tables.IsLeading(now)) {
+  if (!tables.m_servers_loaded || !tables.IsLeading(now)) {
     return;
   }
   if (now.m_steady < gathered) {
@@ -290,7 +292,7 @@
     return;
   }
   tables.m_services.ForEach([&](ServiceId id, const ServiceRow& service) {
-    if (service.m_known) {
+    if (service.m_row_loaded) {
       PlaceService(tables, id, now);
     }
   });
--- a/src/gateway/rate_gate.cc
+++ b/src/gateway/rate_gate.cc
@@ -71,9 +71,9 @@
   return m_budget.BuildDemands(now);
 }
 
-void RateGate::OnLeaderWord(const LeaderWord& word) {
+void RateGate::OnLeaderTokens(const LeaderTokens& word) {
   m_leader_heard = Clock::now();
-  m_budget.OnGrants(word.m_tokens, word.m_report_sent);
+  m_budget.OnGrants(word.m_tokens, word.m_report_sent_at);
   m_granted.Notify();
 }
 
--- a/src/gateway/rate_gate.h
+++ b/src/gateway/rate_gate.h
@@ -32,7 +32,7 @@
   std::vector<TokenDemand> BuildDemands(TimePoint now);
 
   /// The leader answered a report.
-  void OnLeaderWord(const LeaderWord& word);
+  void OnLeaderTokens(const LeaderTokens& word);
 
  private:
   const OwnershipSettings& m_settings;
--- a/src/gateway/relay_system.cc
+++ b/src/gateway/relay_system.cc
@@ -33,35 +33,37 @@
       command.m_addresses.push_back(member.m_record.m_address);
     }
   });
-  command.m_message = RowsNews{tables.m_lead.m_record.m_epoch, kind, after,
-                               result.m_version, result.m_rows};
+  command.m_message = RelayedRows{tables.m_leader_lease.m_record.m_epoch, kind,
+                                  after, result.m_version, result.m_rows};
   tables.m_outbox.emplace_back(std::move(command));
 }
 
-std::optional<RowsResult> RelaySystem::OnNews(GatewayTables& tables,
-                                              RowsNews news,
-                                              const Now& now) {
-  if (news.m_epoch < tables.m_lead.m_record.m_epoch ||
+std::optional<RowsResult> RelaySystem::OnRelayedRows(GatewayTables& tables,
+                                                     RelayedRows news,
+                                                     const Now& now) {
+  if (news.m_epoch < tables.m_leader_lease.m_record.m_epoch ||
       news.m_kind >= kWatchedKinds) {
     return std::nullopt;
   }
   WatchProgress& progress = tables.m_progress[news.m_kind];
-  progress.NoteChange(news.m_up_to, now.m_steady);
+  progress.RecordKnownVersion(news.m_to_version, now.m_steady);
   // Something between is missing, or nothing was read yet: a read follows.
-  if (progress.m_read_up_to < news.m_after || progress.m_read_up_to == 0 ||
-      progress.m_read_up_to >= news.m_up_to) {
+  if (progress.m_applied_version < news.m_from_version ||
+      progress.m_applied_version == 0 ||
+      progress.m_applied_version >= news.m_to_version) {
     return std::nullopt;
   }
   // Rows that are known already may be older than what is known.
   std::erase_if(news.m_rows, [&progress](const StoredRow& row) {
-    return row.m_version <= progress.m_read_up_to;
+    return row.m_version <= progress.m_applied_version;
   });
-  return RowsResult{StoreOutcome::kDone, std::move(news.m_rows), news.m_up_to};
+  return RowsResult{StoreOutcome::kDone, std::move(news.m_rows),
+                    news.m_to_version};
 }
 
 bool RelaySystem::IsRelaying(const GatewayTables& tables, const Now& now) {
   const auto is_recent = [&](WatchedKind kind) {
-    return now.m_boot - tables.m_progress[kind].m_read_at <
+    return now.m_boot - tables.m_progress[kind].m_last_read_sent_at <
            tables.m_settings.m_relay_read_age;
   };
   return is_recent(kOperatorRows) && is_recent(kServerRows);
@@ -82,8 +84,8 @@
   }
   if (tables.IsLeading(now)) {
     // What the leader writes itself shows by the watch, or it is behind.
-    return kind != kClusterRows &&
-           now.m_boot - progress.m_read_at > settings.m_leader_read_age;
+    return kind != kClusterRows && now.m_boot - progress.m_last_read_sent_at >
+                                       settings.m_leader_read_age;
   }
   return kind == kOperatorRows &&
          now.m_boot - tables.m_operators_read_at > settings.m_member_read_age;
--- a/src/gateway/relay_system.h
+++ b/src/gateway/relay_system.h
@@ -20,9 +20,9 @@
                      const Now& now);
 
   /// Returns the rows of the news that are to be taken in, if any are.
-  static std::optional<RowsResult> OnNews(GatewayTables& tables,
-                                          RowsNews news,
-                                          const Now& now);
+  static std::optional<RowsResult> OnRelayedRows(GatewayTables& tables,
+                                                 RelayedRows news,
+                                                 const Now& now);
 
   /// Returns whether this daemon's reads are recent enough to pass changes on.
   static bool IsRelaying(const GatewayTables& tables, const Now& now);
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -304,7 +304,7 @@
 const RoutedServer* RequestHandler::FindOwner(Call& call) {
   const RoutedPlaces* places = call.m_snapshot->FindPlaces(call.m_service);
   const RoutedRange* range = places->FindRange(*call.m_request.m_shard_key);
-  if (!range || !range->m_settled) {
+  if (!range || !range->m_grant_confirmed) {
     return nullptr;
   }
   const auto server = places->m_servers.find(range->m_server);
--- a/src/gateway/routing_snapshot.cc
+++ b/src/gateway/routing_snapshot.cc
@@ -20,10 +20,10 @@
   routed.m_cold_until = server.m_cold_until;
   routed.m_eligible = IsEligible(server);
   routed.m_send_until = TimePoint::max();
-  if (!server.m_listed) {
-    routed.m_send_until = server.m_unlisted_since + kLeavingGrace;
+  if (!server.m_registered) {
+    routed.m_send_until = server.m_deregistered_since + kLeavingGrace;
   } else if (!routed.m_eligible) {
-    routed.m_send_until = server.m_leaving_since + kLeavingGrace;
+    routed.m_send_until = server.m_draining_since + kLeavingGrace;
   }
   return routed;
 }
@@ -31,7 +31,7 @@
 std::vector<RoutedRange> RangesOf(const OwnersRecord& record) {
   std::vector<RoutedRange> ranges;
   for (const OwnedRange& owned : record.m_ranges) {
-    ranges.push_back({owned.m_range, owned.m_server, owned.m_settled});
+    ranges.push_back({owned.m_range, owned.m_server, owned.m_grant_confirmed});
   }
   return ranges;
 }
--- a/src/gateway/routing_snapshot.h
+++ b/src/gateway/routing_snapshot.h
@@ -28,7 +28,7 @@
 struct RoutedRange {
   KeyRange m_range;
   std::string m_server;
-  bool m_settled = false;
+  bool m_grant_confirmed = false;
 };
 
 /// Servers and owners of one service.
--- a/src/gateway/server_control.cc
+++ b/src/gateway/server_control.cc
@@ -6,17 +6,17 @@
   return std::to_string(range.m_first) + "-" + std::to_string(range.m_last);
 }
 
-const char* NameOf(OrderOutcome outcome) {
+const char* NameOf(ServerCallOutcome outcome) {
   switch (outcome) {
-    case OrderOutcome::kDone:
+    case ServerCallOutcome::kDone:
       return "done";
-    case OrderOutcome::kFenced:
+    case ServerCallOutcome::kFenced:
       return "fenced";
-    case OrderOutcome::kRejected:
+    case ServerCallOutcome::kRejected:
       return "rejected";
-    case OrderOutcome::kGone:
+    case ServerCallOutcome::kGone:
       return "gone";
-    case OrderOutcome::kUnknown:
+    case ServerCallOutcome::kUnknown:
       return "unknown";
   }
   return "";
--- a/src/gateway/server_control.h
+++ b/src/gateway/server_control.h
@@ -22,7 +22,7 @@
 std::string NameOf(const KeyRange& range);
 
 /// How an order to a backend server ended.
-enum class OrderOutcome {
+enum class ServerCallOutcome {
   kDone,
   /// The server has seen a higher fencing token.
   kFenced,
@@ -35,7 +35,7 @@
 };
 
 /// Returns the outcome's name for logs.
-const char* NameOf(OrderOutcome outcome);
+const char* NameOf(ServerCallOutcome outcome);
 
 /// Orders to backend servers that own keys.
 class ServerControl {
@@ -44,20 +44,20 @@
 
   /// Grants a range for `hold`, counted from its arrival. `handover` is what
   /// the last owner gave at its release, or empty.
-  virtual OrderOutcome Grant(const std::string& address,
-                             const KeyRange& range,
-                             uint64_t fence,
-                             Duration hold,
-                             const std::string& handover,
-                             Duration timeout) = 0;
+  virtual ServerCallOutcome Grant(const std::string& address,
+                                  const KeyRange& range,
+                                  uint64_t fence,
+                                  Duration hold,
+                                  const std::string& handover,
+                                  Duration timeout) = 0;
 
   /// Ends a grant; returns once nothing runs on the range. `handover` receives
   /// what the next owner needs to begin warm.
-  virtual OrderOutcome Release(const std::string& address,
-                               const KeyRange& range,
-                               uint64_t fence,
-                               Duration timeout,
-                               std::string& handover) = 0;
+  virtual ServerCallOutcome Release(const std::string& address,
+                                    const KeyRange& range,
+                                    uint64_t fence,
+                                    Duration timeout,
+                                    std::string& handover) = 0;
 };
 
 }  // namespace foxtail
--- a/tests/gateway/ownership_test.cc
+++ b/tests/gateway/ownership_test.cc
@@ -173,11 +173,12 @@
   world.Run(seconds(3));
   const size_t leader = world.Leader();
   world.m_hosts[leader].m_tables.m_stopping = true;
-  world.m_hosts[leader].m_tables.m_lead.m_next_operation = TimePoint();
+  world.m_hosts[leader].m_tables.m_leader_lease.m_next_store_call_at =
+      TimePoint();
   world.Run(seconds(7));
   EXPECT_NE(world.Leader(), leader);
   for (const FakeHost& host : world.m_hosts) {
-    EXPECT_GT(host.m_tables.m_next_due, world.m_now);
+    EXPECT_GT(host.m_tables.m_next_tick_at, world.m_now);
   }
   EXPECT_EQ(world.CountHeld(), kSampledKeys);
 }
--- a/tests/gateway/relay_test.cc
+++ b/tests/gateway/relay_test.cc
@@ -85,27 +85,27 @@
   directory.OnServerRows(tables, {{kServer, "10.1.0.2:80 dc-1 0 1", 1, false}},
                          true, now);
   tables.m_servers_contact_since = now.m_steady;
-  LeaderDigest digest;
+  ReportResponse digest;
   digest.m_relaying = true;
-  digest.m_servers_contact_age = 60'000;
-  MemberSystem::OnDigest(tables, digest, now);
+  digest.m_servers_contact_age_ms = 60'000;
+  MemberSystem::OnReportResponse(tables, digest, now);
   directory.OnServerRows(tables, {{kServer, "", 2, true}}, false, now);
-  EXPECT_FALSE(FindServer(tables, kServer)->m_listed);
+  EXPECT_FALSE(FindServer(tables, kServer)->m_registered);
 }
 
 TEST(RelayTest, RowsThatAreKnownAreNotTakenBack) {
   GatewayTables tables;
   WatchProgress& progress = tables.m_progress[kServerRows];
-  progress.NoteRead(10);
+  progress.RecordAppliedVersion(10);
   const Now now{TimePoint() + seconds(100), WallTime(), BootTime()};
-  RowsNews news{1, kServerRows, 5, 12, {{"a", "old", 8}, {"b", "new", 12}}};
-  const auto rows = RelaySystem::OnNews(tables, news, now);
+  RelayedRows news{1, kServerRows, 5, 12, {{"a", "old", 8}, {"b", "new", 12}}};
+  const auto rows = RelaySystem::OnRelayedRows(tables, news, now);
   ASSERT_TRUE(rows);
   ASSERT_EQ(rows->m_rows.size(), 1U);
   EXPECT_EQ(rows->m_rows[0].m_key, "b");
   // A change between 10 and 11 is missing.
-  news.m_after = 11;
-  EXPECT_FALSE(RelaySystem::OnNews(tables, news, now));
+  news.m_from_version = 11;
+  EXPECT_FALSE(RelaySystem::OnRelayedRows(tables, news, now));
   EXPECT_TRUE(RelaySystem::IsProbeDue(
       tables, kServerRows, {now.m_steady + seconds(1), {}, now.m_boot}));
 }
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -117,7 +117,7 @@
 // else happens.
 TEST(DecoderFuzzTest, ChangedBytesAreRefusedOrAccepted) {
   std::minstd_rand random(7);
-  LeaderDigest digest;
+  ReportResponse digest;
   digest.m_address = "10.0.0.1:7000";
   digest.m_tokens.m_grants.push_back({"w", 3, 1});
   MemberReport report;
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -4,10 +4,10 @@
 #include <sstream>
 
 #include "gateway/gateway_tick.h"
-#include "gateway/grant_order_system.h"
 #include "gateway/leadership_system.h"
 #include "gateway/member_system.h"
 #include "gateway/owners_system.h"
+#include "gateway/range_grant_system.h"
 #include "gateway/relay_system.h"
 #include "gateway/routing_snapshot.h"
 
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-OperatorRowKind FakeDirectory::KindOf(const std::string& key,
-                                      std::string& data_centre) const {
+OperatorRowKind FakeDirectory::ClassifyRow(const std::string& key,
+                                           std::string& data_centre) const {
   if (key == "config") {
     return OperatorRowKind::kConfiguration;
   }
@@ -112,7 +112,7 @@
   fake.m_tables = GatewayTables();
   fake.m_tables.m_self = {HostAddress(host), std::to_string(fake.m_incarnation),
                           "dc-0", fake.m_processor_share};
-  fake.m_tables.m_started = m_now;
+  fake.m_tables.m_started_at = m_now;
   fake.m_next_report = m_now;
 }
 
@@ -166,7 +166,7 @@
   const GatewayTables& tables = m_hosts[host].m_tables;
   for (uint32_t i = 0; i < kWatchedKinds; ++i) {
     const auto kind = static_cast<WatchedKind>(i);
-    if (tables.m_progress[kind].m_read_up_to == 0 ||
+    if (tables.m_progress[kind].m_applied_version == 0 ||
         RelaySystem::MustWatch(tables, ReadNow()) ||
         RelaySystem::IsProbeDue(tables, kind, ReadNow())) {
       ReadChanges(host, kind);
@@ -183,14 +183,15 @@
       m_decoder.OperatorTable(), m_decoder.ServerTable(), kClusterTable};
   RowsResult result{StoreOutcome::kDone, {}, std::max<uint64_t>(1, m_version)};
   for (const auto& [key, value] : m_rows) {
-    if (key.first == names[kind] && value.m_version > progress.m_read_up_to) {
+    if (key.first == names[kind] &&
+        value.m_version > progress.m_applied_version) {
       result.m_rows.push_back(
           {key.second, value.m_value, value.m_version, value.m_removed});
     }
   }
   m_reads += result.m_rows.empty() ? 0 : 1;
-  progress.m_read_at = ReadNow().m_boot;
-  RelaySystem::OnRead(tables, kind, progress.m_newest_change, result,
+  progress.m_last_read_sent_at = ReadNow().m_boot;
+  RelaySystem::OnRead(tables, kind, progress.m_last_change_version, result,
                       ReadNow());
   TakeRows(host, kind, result);
 }
@@ -199,7 +200,7 @@
                             WatchedKind kind,
                             const RowsResult& result) {
   GatewayTables& tables = m_hosts[host].m_tables;
-  tables.m_progress[kind].NoteRows(result, false);
+  tables.m_progress[kind].RecordAppliedRows(result, false);
   if (result.m_rows.empty()) {
     return;
   }
@@ -234,21 +235,22 @@
   return std::stoul(address.substr(begin)) - 1;
 }
 
-OrderOutcome GatewayWorld::Apply(size_t server, const GrantCommand& command) {
+ServerCallOutcome GatewayWorld::Apply(size_t server,
+                                      const GrantCommand& command) {
   FakeServer& fake = m_servers[server];
   for (uint32_t i = 0; i < kSampledKeys; ++i) {
     if (command.m_keys.Contains(i * kKeysPerSample) &&
         fake.m_holds[i].m_highest_fence > command.m_fence) {
-      return OrderOutcome::kFenced;
+      return ServerCallOutcome::kFenced;
     }
   }
   for (uint32_t i = 0; i < kSampledKeys; ++i) {
     if (command.m_keys.Contains(i * kKeysPerSample)) {
       fake.m_holds[i] = {command.m_fence, command.m_fence,
-                         m_now + command.m_hold};
+                         m_now + command.m_grant_ttl};
     }
   }
-  return OrderOutcome::kDone;
+  return ServerCallOutcome::kDone;
 }
 
 void GatewayWorld::CarryOut(size_t host, const GrantCommand& command) {
@@ -257,25 +259,25 @@
   const bool reached =
       m_servers[server].m_up && !m_servers[server].m_cut_from.contains(host);
   std::uniform_real_distribution<double> chance(0, 1);
-  OrderOutcome outcome = OrderOutcome::kUnknown;
+  ServerCallOutcome outcome = ServerCallOutcome::kUnknown;
   if (reached && chance(m_random) < m_late_grants) {
     // Its time counts from its arrival, so what is left of it is applied.
     GrantCommand late = command;
-    late.m_hold -= m_late_by;
+    late.m_grant_ttl -= m_late_by;
     m_later.emplace(m_now + m_late_by, [this, server, incarnation, late] {
       const bool same = m_servers[server].m_incarnation == incarnation;
-      if (m_servers[server].m_up && same && late.m_hold > Duration(0)) {
+      if (m_servers[server].m_up && same && late.m_grant_ttl > Duration(0)) {
         Apply(server, late);
       }
     });
   } else if (reached) {
     outcome = Apply(server, command);
   }
-  const Duration delay = outcome == OrderOutcome::kUnknown
+  const Duration delay = outcome == ServerCallOutcome::kUnknown
                              ? Duration(kOrderTimeout)
                              : Duration(kNetworkDelay);
   Later(host, delay, [this, host, command, outcome] {
-    GrantOrderSystem::OnGranted(m_hosts[host].m_tables, command, outcome,
+    RangeGrantSystem::OnGranted(m_hosts[host].m_tables, command, outcome,
                                 ReadNow());
   });
 }
@@ -291,12 +293,12 @@
       }
     }
   }
-  const OrderOutcome outcome =
-      reached ? OrderOutcome::kDone : OrderOutcome::kUnknown;
+  const ServerCallOutcome outcome =
+      reached ? ServerCallOutcome::kDone : ServerCallOutcome::kUnknown;
   const Duration delay =
       reached ? Duration(milliseconds(100)) : command.m_timeout;
   Later(host, delay, [this, host, command, outcome] {
-    GrantOrderSystem::OnReleased(m_hosts[host].m_tables, command, outcome,
+    RangeGrantSystem::OnReleased(m_hosts[host].m_tables, command, outcome,
                                  "handover", ReadNow());
   });
 }
@@ -313,7 +315,7 @@
   }
   Later(host, kStoreDelay, [this, host, command, result] {
     GatewayTables& tables = m_hosts[host].m_tables;
-    if (command.m_table == kLeadTable) {
+    if (command.m_table == kLeaderLeaseTable) {
       LeadershipSystem::OnRead(tables, result, ReadNow());
     } else {
       OwnersSystem::OnRead(tables, kService, result, ReadNow());
@@ -343,7 +345,7 @@
   }
   Later(host, kStoreDelay, [this, host, write, result] {
     GatewayTables& tables = m_hosts[host].m_tables;
-    if (write.m_table == kLeadTable) {
+    if (write.m_table == kLeaderLeaseTable) {
       LeadershipSystem::OnWritten(tables, result, ReadNow());
     } else if (write.m_key.starts_with(kOwnersPrefix)) {
       OwnersSystem::OnWritten(tables, kService, result, ReadNow());
@@ -373,14 +375,14 @@
     if (auto digest = MemberSystem::OnReport(tables, *report, now)) {
       Carry(host, SendCommand{{report->m_address}, *digest});
     }
-  } else if (const auto* news = std::get_if<RowsNews>(&message)) {
-    if (const auto rows = RelaySystem::OnNews(tables, *news, now)) {
+  } else if (const auto* news = std::get_if<RelayedRows>(&message)) {
+    if (const auto rows = RelaySystem::OnRelayedRows(tables, *news, now)) {
       TakeRows(host, static_cast<WatchedKind>(news->m_kind), *rows);
     }
   } else {
-    const auto& digest = std::get<LeaderDigest>(message);
-    LeadershipSystem::OnDigest(tables, digest, now);
-    MemberSystem::OnDigest(tables, digest, now);
+    const auto& digest = std::get<ReportResponse>(message);
+    LeadershipSystem::OnReportResponse(tables, digest, now);
+    MemberSystem::OnReportResponse(tables, digest, now);
   }
 }
 
@@ -428,7 +430,7 @@
     const RoutedRange* range =
         places ? places->FindRange(sample * kKeysPerSample) : nullptr;
     for (size_t server = 0; server < m_servers.size(); ++server) {
-      routed += range && range->m_settled &&
+      routed += range && range->m_grant_confirmed &&
                         range->m_server == ServerName(server) &&
                         m_servers[server].Holds(sample, m_now)
                     ? 1
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -20,8 +20,8 @@
  public:
   std::string OperatorTable() const override { return "operators"; }
   std::string ServerTable() const override { return "servers"; }
-  OperatorRowKind KindOf(const std::string& key,
-                         std::string& data_centre) const override;
+  OperatorRowKind ClassifyRow(const std::string& key,
+                              std::string& data_centre) const override;
   RoutingConfig DecodeConfiguration(const std::string& value) const override;
   BackendServerEntry DecodeServer(const std::string& key,
                                   const std::string& value) const override;
@@ -135,7 +135,7 @@
   void CarryOut(size_t host, const WriteRowCommand& command);
   void CarryOut(size_t host, const SendCommand& command);
   void Receive(size_t host, const ClusterMessage& message);
-  OrderOutcome Apply(size_t server, const GrantCommand& command);
+  ServerCallOutcome Apply(size_t server, const GrantCommand& command);
   void CheckHolds();
   void Later(size_t host, Duration delay, std::function<void()> action);
   bool ReachesStore(size_t host) const;
