--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -66,10 +66,10 @@
   m_tables.m_self = {settings.m_internal, RandomToken(), settings.m_data_centre,
                      ProcessorShareOf(settings)};
   m_watched = {{kOperatorRows, decoder.OperatorTable(),
-                &DirectorySystem::OnOperatorRows},
+                &DirectorySystem::ApplyOperatorRows},
                {kServerRows, decoder.ServerTable(),
-                &DirectorySystem::OnServerRows, kServerGather},
-               {kClusterRows, kClusterTable, &DirectorySystem::OnClusterRows,
+                &DirectorySystem::ApplyServerRows, kServerGather},
+               {kClusterRows, kClusterTable, &DirectorySystem::ApplyClusterRows,
                 kClusterGather}};
 }
 
@@ -302,7 +302,7 @@
     ClusterMessage message = DecodeClusterMessage(bytes);
     if (const auto* report = std::get_if<MemberReport>(&message)) {
       if (auto digest = MemberSystem::OnReport(m_tables, *report, now)) {
-        CarryOut(SendCommand{{report->m_address}, std::move(*digest)});
+        CarryOut(SendDatagramCommand{{report->m_address}, std::move(*digest)});
       }
       return;
     }
@@ -374,7 +374,7 @@
   }
 }
 
-void ControlThread::CarryOut(const SendCommand& command) {
+void ControlThread::CarryOut(const SendDatagramCommand& command) {
   const std::string bytes = EncodeMessage(command.m_message);
   for (const std::string& address : command.m_addresses) {
     boost::system::error_code failure;
--- a/src/gateway/control_thread.h
+++ b/src/gateway/control_thread.h
@@ -102,7 +102,7 @@
   void CarryOut(const ReleaseCommand& command);
   void CarryOut(const ReadRowCommand& command);
   void CarryOut(const WriteRowCommand& command);
-  void CarryOut(const SendCommand& command);
+  void CarryOut(const SendDatagramCommand& command);
   void Wake();
 
   GatewaySettings m_settings;
--- a/src/gateway/directory_system.cc
+++ b/src/gateway/directory_system.cc
@@ -143,10 +143,10 @@
   }
 }
 
-void DirectorySystem::OnOperatorRows(GatewayTables& tables,
-                                     const std::vector<StoredRow>& rows,
-                                     bool complete,
-                                     const Now& now) const {
+void DirectorySystem::ApplyOperatorRows(GatewayTables& tables,
+                                        const std::vector<StoredRow>& rows,
+                                        bool complete,
+                                        const Now& now) const {
   std::set<std::string> evacuated;
   if (!complete) {
     evacuated = tables.m_evacuated;
@@ -229,10 +229,10 @@
       tables.m_evacuated.contains(known->m_entry.m_data_centre);
 }
 
-void DirectorySystem::OnServerRows(GatewayTables& tables,
-                                   const std::vector<StoredRow>& rows,
-                                   bool complete,
-                                   const Now& now) const {
+void DirectorySystem::ApplyServerRows(GatewayTables& tables,
+                                      const std::vector<StoredRow>& rows,
+                                      bool complete,
+                                      const Now& now) const {
   for (const StoredRow& row : rows) {
     ApplyServer(tables, row, now);
   }
@@ -247,10 +247,10 @@
   tables.m_snapshot_due = true;
 }
 
-void DirectorySystem::OnClusterRows(GatewayTables& tables,
-                                    const std::vector<StoredRow>& rows,
-                                    bool complete,
-                                    const Now&) const {
+void DirectorySystem::ApplyClusterRows(GatewayTables& tables,
+                                       const std::vector<StoredRow>& rows,
+                                       bool complete,
+                                       const Now&) const {
   for (const StoredRow& row : rows) {
     if (row.m_key.starts_with(kMemberPrefix)) {
       ApplyMember(tables, row);
--- a/src/gateway/directory_system.h
+++ b/src/gateway/directory_system.h
@@ -14,18 +14,18 @@
   explicit DirectorySystem(const DirectoryDecoder& decoder)
       : m_decoder(decoder) {}
 
-  void OnOperatorRows(GatewayTables& tables,
-                      const std::vector<StoredRow>& rows,
-                      bool complete,
-                      const Now& now) const;
-  void OnServerRows(GatewayTables& tables,
-                    const std::vector<StoredRow>& rows,
-                    bool complete,
-                    const Now& now) const;
-  void OnClusterRows(GatewayTables& tables,
-                     const std::vector<StoredRow>& rows,
-                     bool complete,
-                     const Now& now) const;
+  void ApplyOperatorRows(GatewayTables& tables,
+                         const std::vector<StoredRow>& rows,
+                         bool complete,
+                         const Now& now) const;
+  void ApplyServerRows(GatewayTables& tables,
+                       const std::vector<StoredRow>& rows,
+                       bool complete,
+                       const Now& now) const;
+  void ApplyClusterRows(GatewayTables& tables,
+                        const std::vector<StoredRow>& rows,
+                        bool complete,
+                        const Now& now) const;
 
   /// Deregisters servers whose registration stays missing after an outage, and
   /// removes deregistered servers that no range refers to.
--- a/src/gateway/gateway_tables.h
+++ b/src/gateway/gateway_tables.h
@@ -262,7 +262,7 @@
 };
 
 /// Sends a datagram to other gateways.
-struct SendCommand {
+struct SendDatagramCommand {
   std::vector<std::string> m_addresses;
   ClusterMessage m_message;
 };
@@ -272,7 +272,7 @@
                                     ReleaseCommand,
                                     ReadRowCommand,
                                     WriteRowCommand,
-                                    SendCommand>;
+                                    SendDatagramCommand>;
 
 /// An event waiting to be logged.
 struct PendingEvent {
--- a/src/gateway/member_system.cc
+++ b/src/gateway/member_system.cc
@@ -162,7 +162,7 @@
       OnReportResponse(tables, *response, now);
     }
   } else if (!tables.m_leader_lease.m_record.m_address.empty()) {
-    tables.m_outbox.emplace_back(SendCommand{
+    tables.m_outbox.emplace_back(SendDatagramCommand{
         {tables.m_leader_lease.m_record.m_address}, std::move(report)});
   }
 }
--- a/src/gateway/relay_system.cc
+++ b/src/gateway/relay_system.cc
@@ -28,7 +28,7 @@
       CountBytes(result.m_rows) > kMaxRelayedBytes) {
     return;
   }
-  SendCommand command;
+  SendDatagramCommand command;
   tables.m_members.ForEach([&](MemberId, const MemberRow& member) {
     if (member.m_record.m_address != tables.m_self.m_address) {
       command.m_addresses.push_back(member.m_record.m_address);
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -205,11 +205,11 @@
     return;
   }
   if (kind == kOperatorRows) {
-    m_directory.OnOperatorRows(tables, result.m_rows, false, ReadNow());
+    m_directory.ApplyOperatorRows(tables, result.m_rows, false, ReadNow());
   } else if (kind == kServerRows) {
-    m_directory.OnServerRows(tables, result.m_rows, false, ReadNow());
+    m_directory.ApplyServerRows(tables, result.m_rows, false, ReadNow());
   } else {
-    m_directory.OnClusterRows(tables, result.m_rows, false, ReadNow());
+    m_directory.ApplyClusterRows(tables, result.m_rows, false, ReadNow());
   }
 }
 
@@ -355,7 +355,7 @@
   });
 }
 
-void GatewayWorld::CarryOut(size_t host, const SendCommand& command) {
+void GatewayWorld::CarryOut(size_t host, const SendDatagramCommand& command) {
   std::uniform_real_distribution<double> chance(0, 1);
   for (size_t target = 0; target < m_hosts.size(); ++target) {
     const bool addressed =
@@ -373,7 +373,7 @@
   const Now now = ReadNow();
   if (const auto* report = std::get_if<MemberReport>(&message)) {
     if (auto digest = MemberSystem::OnReport(tables, *report, now)) {
-      Carry(host, SendCommand{{report->m_address}, *digest});
+      Carry(host, SendDatagramCommand{{report->m_address}, *digest});
     }
   } else if (const auto* news = std::get_if<RelayedRows>(&message)) {
     if (const auto rows = RelaySystem::OnRelayedRows(tables, *news, now)) {
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -133,7 +133,7 @@
   void CarryOut(size_t host, const ReleaseCommand& command);
   void CarryOut(size_t host, const ReadRowCommand& command);
   void CarryOut(size_t host, const WriteRowCommand& command);
-  void CarryOut(size_t host, const SendCommand& command);
+  void CarryOut(size_t host, const SendDatagramCommand& command);
   void Receive(size_t host, const ClusterMessage& message);
   ServerCallOutcome Apply(size_t server, const GrantCommand& command);
   void CheckHolds();
