--- a/src/apps/foxtail_gateway.cc
+++ b/src/apps/foxtail_gateway.cc
@@ -5,7 +5,7 @@
 #include "core/event.h"
 #include "gateway/control_thread.h"
 #include "gateway/gateway_settings.h"
-#include "gateway/gateway_thread.h"
+#include "gateway/gateway_traffic_thread.h"
 #include "platform/operator_rows.h"
 #include "platform/platform_front.h"
 #include "platform/row_store.h"
@@ -18,7 +18,7 @@
 // A port of 0 or an address that is used twice would only show at the start, or
 // not at all.
 int CheckSettings(const GatewaySettings& settings) {
-  ProcessorShareOf(settings);
+  ParseProcessorShare(settings);
   const std::vector<std::pair<std::string, std::string>> addresses = {
       {"listen", settings.m_listen},
       {"ready", settings.m_ready},
@@ -53,7 +53,7 @@
   const OperatorRows decoder;
   const PlatformFront front;
   const Address store = ParseAddress(settings.m_store);
-  GatewayThread traffic(settings, front, events);
+  GatewayTrafficThread traffic(settings, front, events);
   ControlThread control(settings, decoder,
                         {[store] { return std::make_unique<RowStore>(store); },
                          [] { return std::make_unique<ServerOrders>(); }},
--- a/src/gateway/cluster_codec.cc
+++ b/src/gateway/cluster_codec.cc
@@ -39,7 +39,7 @@
 
 template <typename Archive>
 void serialize(Archive& archive, PackedRange& m) {  // NOLINT
-  archive(m.m_first, m.m_last, m.m_server, m.m_settled);
+  archive(m.m_first, m.m_last, m.m_server, m.m_grant_confirmed);
 }
 
 template <typename Archive>
--- a/src/gateway/cluster_records.h
+++ b/src/gateway/cluster_records.h
@@ -62,7 +62,7 @@
   int64_t m_incarnation = 0;
 
   /// Whether the owner has confirmed its grant.
-  bool m_settled = false;
+  bool m_grant_confirmed = false;
 
   /// Servers whose earlier right may not have ended.
   std::vector<std::string> m_previous;
--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -64,7 +64,7 @@
       m_events(events) {
   m_tables.m_settings = settings.m_ownership;
   m_tables.m_self = {settings.m_internal, RandomToken(), settings.m_data_centre,
-                     ProcessorShareOf(settings)};
+                     ParseProcessorShare(settings)};
   m_watched = {{kOperatorRows, decoder.OperatorTable(),
                 &DirectorySystem::OnOperatorRows},
                {kServerRows, decoder.ServerTable(),
@@ -330,8 +330,8 @@
 
 void ControlThread::CarryOut(const GrantCommand& command) {
   const OrderOutcome outcome = m_orders->Grant(
-      command.m_address, command.m_keys, command.m_fence, command.m_hold,
-      command.m_handover, m_settings.m_ownership.m_order_timeout);
+      command.m_address, command.m_keys, command.m_fence, command.m_grant_ttl,
+      command.m_handover, m_settings.m_ownership.m_server_call_timeout);
   GrantOrderSystem::OnGranted(m_tables, command, outcome, ReadClocks());
 }
 
--- a/src/gateway/even_share.h
+++ b/src/gateway/equal_share_limiter.h
@@ -10,7 +10,7 @@
 
 /// Admits an even part of each workspace's rate without asking anybody. Load
 /// pattern: this host is cut off from the leader, so nobody deals out tokens.
-class EvenShare {
+class EqualShareLimiter {
  public:
   /// Takes a token for a request, if the part of one of `members` daemons still
   /// has one.
--- a/src/gateway/client_front.h
+++ b/src/gateway/front_end.h
@@ -22,7 +22,7 @@
 };
 
 /// What a backend server gets with a request.
-struct ServerAddressee {
+struct ForwardingMetadata {
   std::string m_server_id;
   std::string m_workspace;
   Duration m_deadline{};
@@ -39,9 +39,9 @@
 };
 
 /// What a backend server's response means.
-enum class AnswerKind {
+enum class ResponseKind {
   /// The server's complete answer, of any status.
-  kAnswer,
+  kComplete,
   /// The server did not run the request.
   kNotRun,
   /// Another server has the address, or this one does not hold the key.
@@ -51,35 +51,36 @@
 };
 
 /// A backend server's response as far as decisions need it.
-struct ServerAnswer {
-  AnswerKind m_kind = AnswerKind::kInvalid;
+struct ServerResponse {
+  ResponseKind m_kind = ResponseKind::kInvalid;
   std::optional<LoadReport> m_load;
 };
 
 /// How clients' requests and servers' answers are encoded. Decisions use only
 /// the decoded types, so that another front can use them.
-class ClientFront {
+class FrontEnd {
  public:
-  virtual ~ClientFront() = default;
+  virtual ~FrontEnd() = default;
 
   /// Decodes a request. Throws `Error(kRequestMalformed)`.
   virtual ClientRequest Decode(const HttpRequest& request) const = 0;
 
   /// Builds the request for a server from the client's.
-  virtual HttpRequest ForServer(const HttpRequest& request,
-                                const ServerAddressee& addressee) const = 0;
+  virtual HttpRequest BuildServerRequest(
+      const HttpRequest& request,
+      const ForwardingMetadata& addressee) const = 0;
 
   /// Judges a server's response to a request.
-  virtual ServerAnswer Judge(const ClientRequest& request,
-                             const HttpResponse& response) const = 0;
+  virtual ServerResponse Classify(const ClientRequest& request,
+                                  const HttpResponse& response) const = 0;
 
   /// Builds the client's response from the server's.
-  virtual HttpResponse ForClient(HttpResponse response) const = 0;
+  virtual HttpResponse BuildClientResponse(HttpResponse response) const = 0;
 
   /// Builds the response that reports a failure. `retry_after` tells the client
   /// when to come back with a request that did not run.
-  virtual HttpResponse Failure(const Error& error,
-                               Duration retry_after) const = 0;
+  virtual HttpResponse BuildErrorResponse(const Error& error,
+                                          Duration retry_after) const = 0;
 };
 
 }  // namespace foxtail
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-double ProcessorShareOf(const GatewaySettings& settings) {
+double ParseProcessorShare(const GatewaySettings& settings) {
   const std::string& text = settings.m_processor_share;
   double share = 0;
   const auto result =
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -14,105 +14,105 @@
 struct OwnershipSettings {
   /// Validity of the leader lease. Below the hold of a grant, so that a
   /// successor renews before keys lapse.
-  Duration m_lead_ttl = std::chrono::milliseconds(2000);
+  Duration m_leader_lease_ttl = std::chrono::milliseconds(2000);
 
   /// Pause between renewals of the leader lease: three tries a validity.
-  Duration m_lead_renewal = std::chrono::milliseconds(650);
+  Duration m_leader_lease_renew_period = std::chrono::milliseconds(650);
 
   /// What the leader's own right ends before its lease: covers a check that
   /// was made just before an order went out.
-  Duration m_lead_margin = std::chrono::milliseconds(150);
+  Duration m_leader_lease_margin = std::chrono::milliseconds(150);
 
   /// Time without a word of the leader after which others read its row.
-  Duration m_leader_silence = std::chrono::milliseconds(900);
+  Duration m_leader_silence_timeout = std::chrono::milliseconds(900);
 
   /// Pause between reads of the leader's row, and what each later member in
   /// order waits longer, so that not all of them read at once.
-  Duration m_lead_read = std::chrono::milliseconds(250);
+  Duration m_leader_lease_read_period = std::chrono::milliseconds(250);
   Duration m_rank_delay = std::chrono::milliseconds(120);
 
   /// Hold of a grant, and pause between its renewals (three tries a hold). A
   /// shorter hold frees the keys of a lost server sooner.
-  Duration m_hold = std::chrono::milliseconds(4000);
-  Duration m_renewal = std::chrono::milliseconds(1300);
+  Duration m_grant_ttl = std::chrono::milliseconds(4000);
+  Duration m_grant_renew_period = std::chrono::milliseconds(1300);
 
   /// A shorter hold than this is not worth an order.
-  Duration m_shortest_hold = std::chrono::milliseconds(300);
+  Duration m_min_grant_ttl = std::chrono::milliseconds(300);
 
   /// Hold of a grant that only shows a server a higher token.
-  Duration m_fencing_hold = std::chrono::milliseconds(1);
+  Duration m_fencing_grant_ttl = std::chrono::milliseconds(1);
 
   /// Hold while the store does not answer: the longest that servers accept.
-  Duration m_outage_hold = std::chrono::seconds(10);
+  Duration m_outage_grant_ttl = std::chrono::seconds(10);
 
   /// A server's clock may run this much slow.
   double m_clock_drift = 0.02;
 
   /// Longest time for one order to a server.
-  Duration m_order_timeout = std::chrono::milliseconds(700);
+  Duration m_server_call_timeout = std::chrono::milliseconds(700);
 
   /// Longest time for a release, which waits for running requests.
-  Duration m_release_timeout = std::chrono::milliseconds(1500);
+  Duration m_release_call_timeout = std::chrono::milliseconds(1500);
 
   /// Pause before an order is tried again.
-  Duration m_order_retry = std::chrono::milliseconds(250);
+  Duration m_server_call_retry_delay = std::chrono::milliseconds(250);
 
   /// Time for which a server must fail all orders before its keys are moved.
-  Duration m_unreachable_after = std::chrono::milliseconds(900);
+  Duration m_server_unreachable_timeout = std::chrono::milliseconds(900);
 
   /// Time after the leader's start, or after a change, in which servers gather
   /// before keys are dealt out.
-  Duration m_gather = std::chrono::milliseconds(600);
+  Duration m_registration_grace_period = std::chrono::milliseconds(600);
 
   /// Pause between planned moves that even out load, so that the effect of one
   /// is seen before the next.
-  Duration m_rebalance = std::chrono::milliseconds(600);
+  Duration m_rebalance_interval = std::chrono::milliseconds(600);
 
   /// Pause between reports to the leader, and the shortest one when requests
   /// wait for tokens.
   Duration m_report_period = std::chrono::milliseconds(400);
-  Duration m_urgent_report = std::chrono::milliseconds(25);
+  Duration m_min_report_interval = std::chrono::milliseconds(25);
 
   /// Pause between reports of load and speed: a key that becomes busy must show
   /// well within a second.
-  Duration m_load_report = std::chrono::milliseconds(400);
+  Duration m_load_report_period = std::chrono::milliseconds(400);
 
   /// Time in which confirmed moves gather before they are recorded: each record
   /// goes to all daemons.
-  Duration m_settle_gather = std::chrono::milliseconds(30);
+  Duration m_confirmation_batch_delay = std::chrono::milliseconds(30);
 
   /// Silence after which a member or the leader counts as not heard.
-  Duration m_unheard_after = std::chrono::milliseconds(1300);
+  Duration m_contact_silence_timeout = std::chrono::milliseconds(1300);
 
   /// Life of a token, and for how long it counts as out. The difference covers
   /// clock drift and a late report.
-  std::chrono::milliseconds m_token_life{1000};
-  Duration m_token_lifetime = std::chrono::milliseconds(1100);
+  std::chrono::milliseconds m_token_ttl{1000};
+  Duration m_outstanding_token_ttl = std::chrono::milliseconds(1100);
 
   /// Age of the configuration at which the leader, and others, read it
   /// themselves. The difference leaves the reading to the leader.
-  Duration m_leader_read_age = std::chrono::milliseconds(700);
-  Duration m_member_read_age = std::chrono::milliseconds(2300);
+  Duration m_leader_refresh_age = std::chrono::milliseconds(700);
+  Duration m_member_refresh_age = std::chrono::milliseconds(2300);
 
   /// Members leave the watching to a leader whose reads are not older than
   /// this, and to one that was heard not longer ago than this. Together with a
   /// report period well below the time within which servers must get no new
   /// work.
-  Duration m_relay_read_age = std::chrono::milliseconds(1000);
-  Duration m_relay_silence = std::chrono::milliseconds(900);
+  Duration m_relay_max_read_age = std::chrono::milliseconds(1000);
+  Duration m_relay_silence_timeout = std::chrono::milliseconds(900);
 
   /// Time a change that the leader knows of may be unknown here before the
   /// table is read without waiting for the watch.
-  Duration m_behind_limit = std::chrono::milliseconds(300);
+  Duration m_max_lag = std::chrono::milliseconds(300);
 
   /// Silence after which the leader takes a member off the list.
-  Duration m_member_silence = std::chrono::seconds(20);
+  Duration m_member_silence_timeout = std::chrono::seconds(20);
 
   /// Longest time for one read or write of the store.
   Duration m_store_timeout = std::chrono::milliseconds(900);
 
   /// Pause after a call that the store did not carry out.
-  Duration m_store_retry = std::chrono::milliseconds(250);
+  Duration m_store_retry_delay = std::chrono::milliseconds(250);
 };
 
 /// Settings of `foxtail-gateway`.
@@ -148,7 +148,7 @@
 
 /// Returns the processor time of this host, in cores. Throws
 /// `Error(kSettingInvalid)`.
-double ProcessorShareOf(const GatewaySettings& settings);
+double ParseProcessorShare(const GatewaySettings& settings);
 
 /// The rows of all settings.
 std::span<const SettingRow<GatewaySettings>> GatewaySettingRows();
--- a/src/gateway/gateway_tables.h
+++ b/src/gateway/gateway_tables.h
@@ -227,7 +227,7 @@
   std::string m_address;
   KeyRange m_keys;
   uint64_t m_fence = 0;
-  Duration m_hold{};
+  Duration m_grant_ttl{};
   std::string m_handover;
 };
 
--- a/src/gateway/gateway_thread.cc
+++ b/src/gateway/gateway_traffic_thread.cc
@@ -1,4 +1,4 @@
-#include "gateway/gateway_thread.h"
+#include "gateway/gateway_traffic_thread.h"
 
 #include <boost/fiber/operations.hpp>
 #include <cstdlib>
@@ -25,21 +25,24 @@
 
 }  // namespace
 
-GatewayThread::GatewayThread(const GatewaySettings& settings,
-                             const ClientFront& front,
-                             EventLog& events)
-    : m_settings(settings), m_front(front), m_events(events), m_log(events) {}
+GatewayTrafficThread::GatewayTrafficThread(const GatewaySettings& settings,
+                                           const FrontEnd& front,
+                                           EventLog& events)
+    : m_settings(settings),
+      m_front_end(front),
+      m_events(events),
+      m_log(events) {}
 
-GatewayThread::~GatewayThread() = default;
+GatewayTrafficThread::~GatewayTrafficThread() = default;
 
-void GatewayThread::Start(ControlThread& control) {
+void GatewayTrafficThread::Start(ControlThread& control) {
   m_control = &control;
   m_thread = std::thread([this] { Run(); });
 }
 
-void GatewayThread::Run() {
+void GatewayTrafficThread::Run() {
   InstallFiberScheduler();
-  m_handler = std::make_unique<RequestHandler>(m_settings, m_front, *this,
+  m_handler = std::make_unique<RequestHandler>(m_settings, m_front_end, *this,
                                                m_log, m_metrics);
   HttpServerSettings clients;
   clients.m_connection_limit = m_settings.m_connection_limit;
@@ -61,7 +64,7 @@
   m_mailbox.Loop();
 }
 
-void GatewayThread::Listen(const HttpServerSettings& clients) {
+void GatewayTrafficThread::Listen(const HttpServerSettings& clients) {
   m_clients = std::make_unique<HttpServer>(
       ParseAddress(m_settings.m_listen), clients,
       [this](HttpRequest& request) { return m_handler->Handle(request); });
@@ -73,7 +76,7 @@
       [this](HttpRequest&) { return MetricsText(); });
 }
 
-void GatewayThread::OnSnapshot(
+void GatewayTrafficThread::OnSnapshot(
     std::shared_ptr<const RoutingSnapshot> snapshot) {
   m_mailbox.Post([this, snapshot = std::move(snapshot)]() mutable {
     m_handler->OnSnapshot(std::move(snapshot));
@@ -81,7 +84,7 @@
   });
 }
 
-void GatewayThread::ApplyLimits() {
+void GatewayTrafficThread::ApplyLimits() {
   const uint64_t version = m_handler->ConfigurationVersion();
   if (version == m_limits_version || !m_handler->HasConfiguration()) {
     return;
@@ -97,23 +100,23 @@
   m_clients->SetLimits(settings);
 }
 
-milliseconds GatewayThread::ConfigurationAge() const {
+milliseconds GatewayTrafficThread::ConfigurationAge() const {
   return std::chrono::duration_cast<milliseconds>(BootClock::now() -
                                                   m_operators_read_at);
 }
 
-bool GatewayThread::IsFresh() const {
+bool GatewayTrafficThread::IsFresh() const {
   return ConfigurationAge() < m_settings.m_access_lifetime;
 }
 
-HttpResponse GatewayThread::Ready() const {
+HttpResponse GatewayTrafficThread::Ready() const {
   HttpResponse response;
   const bool ready = !m_stopping && m_handler->HasConfiguration() && IsFresh();
   response.m_status = ready ? 200 : 503;
   return response;
 }
 
-HttpResponse GatewayThread::MetricsText() const {
+HttpResponse GatewayTrafficThread::MetricsText() const {
   HttpResponse response;
   response.m_headers.Set("Content-Type", "text/plain; version=0.0.4");
   response.m_body = m_metrics.Text() + "foxtail_configuration_version " +
@@ -125,21 +128,21 @@
   return response;
 }
 
-void GatewayThread::OnFreshness(BootTime operators_read_at) {
+void GatewayTrafficThread::OnFreshness(BootTime operators_read_at) {
   m_mailbox.Post(
       [this, operators_read_at] { m_operators_read_at = operators_read_at; });
 }
 
-void GatewayThread::OnLeaderWord(LeaderWord word) {
+void GatewayTrafficThread::OnLeaderWord(LeaderWord word) {
   m_mailbox.Post([this, word = std::move(word)] {
     m_handler->GetRates().OnLeaderWord(word);
   });
 }
 
 // Reports regularly, and sooner when requests wait for tokens.
-void GatewayThread::ReportLoop() {
+void GatewayTrafficThread::ReportLoop() {
   const OwnershipSettings& settings = m_settings.m_ownership;
-  TimePoint next_loads = Clock::now() + settings.m_load_report;
+  TimePoint next_loads = Clock::now() + settings.m_load_report_period;
   while (!m_stopped) {
     if (!std::exchange(m_report_urgent, false)) {
       m_report_wanted.WaitUntil(Clock::now() + settings.m_report_period);
@@ -148,14 +151,14 @@
     const TimePoint now = Clock::now();
     const bool with_loads = now >= next_loads;
     if (with_loads) {
-      next_loads = now + settings.m_load_report;
+      next_loads = now + settings.m_load_report_period;
     }
     m_control->Report(m_handler->TakeReport(now, with_loads));
-    boost::this_fiber::sleep_for(settings.m_urgent_report);
+    boost::this_fiber::sleep_for(settings.m_min_report_interval);
   }
 }
 
-void GatewayThread::SummaryLoop() {
+void GatewayTrafficThread::SummaryLoop() {
   while (!m_stopped) {
     boost::this_fiber::sleep_for(kSummaryPeriod);
     m_handler->Expire(Clock::now());
@@ -164,12 +167,12 @@
   }
 }
 
-bool GatewayThread::Stop() {
+bool GatewayTrafficThread::Stop() {
   return m_mailbox.Call([this] { return StopServers(); });
 }
 
 // The balancer looks away first; until then new connections are served.
-bool GatewayThread::StopServers() {
+bool GatewayTrafficThread::StopServers() {
   const TimePoint until = Clock::now() + m_settings.m_stop_timeout;
   m_stopping = true;
   m_clients->StartDraining();
--- a/src/gateway/gateway_thread.h
+++ b/src/gateway/gateway_traffic_thread.h
@@ -13,12 +13,12 @@
 
 /// The traffic thread of a gateway: clients' connections, the readiness check
 /// and the metrics.
-class GatewayThread : public ControlListener, public AccessFreshness {
+class GatewayTrafficThread : public ControlListener, public AccessFreshness {
  public:
-  GatewayThread(const GatewaySettings& settings,
-                const ClientFront& front,
-                EventLog& events);
-  ~GatewayThread() override;
+  GatewayTrafficThread(const GatewaySettings& settings,
+                       const FrontEnd& front,
+                       EventLog& events);
+  ~GatewayTrafficThread() override;
 
   /// Starts the thread. `control` takes its reports and must outlive it.
   void Start(ControlThread& control);
@@ -45,7 +45,7 @@
   void ApplyLimits();
 
   const GatewaySettings& m_settings;
-  const ClientFront& m_front;
+  const FrontEnd& m_front_end;
   EventLog& m_events;
   ControlThread* m_control = nullptr;
   Metrics m_metrics;
--- a/src/gateway/grant_order_system.cc
+++ b/src/gateway/grant_order_system.cc
@@ -24,13 +24,14 @@
                  const RangeRow& row,
                  const Now& now) {
   const OwnershipSettings& settings = tables.m_settings;
-  const Duration hold =
-      tables.m_lead.m_outage_holds ? settings.m_outage_hold : settings.m_hold;
+  const Duration hold = tables.m_lead.m_outage_holds
+                            ? settings.m_outage_grant_ttl
+                            : settings.m_grant_ttl;
   if (server.m_failed_orders == 0 || row.m_phase == RangePhase::kGranting) {
     return hold;
   }
   const Duration left =
-      row.m_held_until - now.m_steady - settings.m_order_timeout;
+      row.m_held_until - now.m_steady - settings.m_server_call_timeout;
   return std::min(hold, std::chrono::duration_cast<Duration>(
                             left / (1 + settings.m_clock_drift)));
 }
@@ -43,15 +44,15 @@
   const ServerRow* server = FindServer(tables, row.m_owner);
   const Duration hold =
       server ? HoldFor(tables, *server, row, now) : Duration();
-  if (hold < settings.m_shortest_hold) {
-    row.m_next_order = now.m_steady + settings.m_order_retry;
+  if (hold < settings.m_min_grant_ttl) {
+    row.m_next_order = now.m_steady + settings.m_server_call_retry_delay;
     return;
   }
   // The time counts from the arrival of the order, which is at the latest when
   // the call is given up.
   row.m_held_before = row.m_held_until;
   row.m_held_until =
-      std::max(row.m_held_until, now.m_steady + settings.m_order_timeout +
+      std::max(row.m_held_until, now.m_steady + settings.m_server_call_timeout +
                                      LongestHold(settings, hold));
   row.m_busy = true;
   row.m_may_hold = true;
@@ -77,7 +78,7 @@
   row.m_fence = ++tables.m_lead.m_last_fence;
   tables.m_outbox.emplace_back(
       GrantCommand{id, previous.m_id, previous.m_address, row.m_range, fence,
-                   tables.m_settings.m_fencing_hold, ""});
+                   tables.m_settings.m_fencing_grant_ttl, ""});
 }
 
 void StepReleasing(GatewayTables& tables,
@@ -95,7 +96,8 @@
   const OwnershipSettings& settings = tables.m_settings;
   // An order that may have an effect beyond the lapse would delay it.
   const Duration longest_effect =
-      settings.m_order_timeout + LongestHold(settings, settings.m_fencing_hold);
+      settings.m_server_call_timeout +
+      LongestHold(settings, settings.m_fencing_grant_ttl);
   if (!previous || row.m_held_until - now.m_steady < longest_effect) {
     row.m_next_order = row.m_held_until;
     return;
@@ -107,8 +109,8 @@
     FencePrevious(tables, id, row, entry);
     return;
   }
-  const Duration timeout =
-      std::min(settings.m_release_timeout, row.m_held_until - now.m_steady);
+  const Duration timeout = std::min(settings.m_release_call_timeout,
+                                    row.m_held_until - now.m_steady);
   // A release is never refused, whatever its token.
   tables.m_outbox.emplace_back(ReleaseCommand{
       id, entry.m_id, entry.m_address, row.m_range, row.m_fence, timeout});
@@ -211,7 +213,7 @@
   if (!service.m_dirty) {
     service.m_next_operation =
         std::max(service.m_next_operation,
-                 now.m_steady + tables.m_settings.m_settle_gather);
+                 now.m_steady + tables.m_settings.m_confirmation_batch_delay);
   }
   service.m_dirty = true;
   row.m_phase = RangePhase::kSettled;
@@ -233,7 +235,7 @@
                       const Now& now) {
   const bool fenced = outcome == OrderOutcome::kDone;
   row.m_next_order =
-      now.m_steady + (fenced ? Duration() : settings.m_order_retry);
+      now.m_steady + (fenced ? Duration() : settings.m_server_call_retry_delay);
   if (fenced) {
     row.m_fenced_server = command.m_server;
   }
@@ -280,7 +282,7 @@
     return;
   }
   if (outcome != OrderOutcome::kDone) {
-    row->m_next_order = now.m_steady + settings.m_order_retry;
+    row->m_next_order = now.m_steady + settings.m_server_call_retry_delay;
     tables.m_events.push_back({EventNumber::kOrderFailed,
                                {{"order", "grant"},
                                 {"server", command.m_server},
@@ -296,9 +298,10 @@
   if (outcome != OrderOutcome::kDone || row->m_fence != command.m_fence) {
     return;
   }
-  row->m_held_until = std::max(
-      row->m_held_before, now.m_steady + LongestHold(settings, command.m_hold));
-  row->m_next_order = now.m_steady + settings.m_renewal;
+  row->m_held_until =
+      std::max(row->m_held_before,
+               now.m_steady + LongestHold(settings, command.m_grant_ttl));
+  row->m_next_order = now.m_steady + settings.m_grant_renew_period;
   if (row->m_phase == RangePhase::kGranting) {
     NoteSettled(tables, *row, now);
   }
@@ -314,7 +317,8 @@
     return;
   }
   row->m_busy = false;
-  row->m_next_order = now.m_steady + tables.m_settings.m_order_retry;
+  row->m_next_order =
+      now.m_steady + tables.m_settings.m_server_call_retry_delay;
   if (outcome == OrderOutcome::kDone) {
     row->m_handover = handover.empty() ? row->m_handover : handover;
     std::erase(row->m_previous, command.m_server);
--- a/src/gateway/leadership_system.cc
+++ b/src/gateway/leadership_system.cc
@@ -54,7 +54,7 @@
   LeadState& lead = tables.m_lead;
   lead.m_phase = LeadPhase::kLeading;
   lead.m_outage_holds = false;
-  tables.m_tokens.emplace(tables.m_settings.m_token_lifetime);
+  tables.m_tokens.emplace(tables.m_settings.m_outstanding_token_ttl);
   tables.m_tokens->Begin(now.m_steady);
   lead.m_last_fence = lead.m_record.m_epoch << kFenceBits;
   tables.m_events.push_back(
@@ -110,7 +110,8 @@
   const LeadState& lead = tables.m_lead;
   return lead.m_row_version == 0 || lead.m_record.m_released ||
          lead.m_record.m_address == tables.m_self.m_address ||
-         now.m_steady - lead.m_unchanged_since >= tables.m_settings.m_lead_ttl;
+         now.m_steady - lead.m_unchanged_since >=
+             tables.m_settings.m_leader_lease_ttl;
 }
 
 void RunFollowing(GatewayTables& tables, const Now& now) {
@@ -124,8 +125,9 @@
   }
   const Duration rank_delay =
       RankOfSelf(tables) * tables.m_settings.m_rank_delay;
-  const TimePoint silent_at =
-      lead.m_leader_heard + tables.m_settings.m_leader_silence + rank_delay;
+  const TimePoint silent_at = lead.m_leader_heard +
+                              tables.m_settings.m_leader_silence_timeout +
+                              rank_delay;
   if (lead.m_known && now.m_steady < silent_at) {
     tables.WakeAt(silent_at);
     return;
@@ -172,9 +174,9 @@
   LeadState& lead = tables.m_lead;
   const OwnershipSettings& settings = tables.m_settings;
   lead.m_uncertain = false;
-  lead.m_authority_until =
-      lead.m_pending_sent + settings.m_lead_ttl - settings.m_lead_margin;
-  lead.m_next_operation = now.m_steady + settings.m_lead_renewal;
+  lead.m_authority_until = lead.m_pending_sent + settings.m_leader_lease_ttl -
+                           settings.m_leader_lease_margin;
+  lead.m_next_operation = now.m_steady + settings.m_leader_lease_renew_period;
   if (lead.m_pending.m_released) {
     StopLeading(tables, EventNumber::kControlLeaseReleased, now);
   } else if (lead.m_phase == LeadPhase::kTaking) {
@@ -200,7 +202,8 @@
                               const Now& now) {
   LeadState& lead = tables.m_lead;
   lead.m_busy = false;
-  lead.m_next_operation = now.m_steady + tables.m_settings.m_lead_read;
+  lead.m_next_operation =
+      now.m_steady + tables.m_settings.m_leader_lease_read_period;
   if (result.m_outcome != StoreOutcome::kDone) {
     return;
   }
@@ -243,7 +246,7 @@
     OnConfirmed(tables, now);
     return;
   }
-  lead.m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
+  lead.m_next_operation = now.m_steady + tables.m_settings.m_store_retry_delay;
   // After a mismatch somebody else wrote, or an earlier write of our own came
   // late; after no answer the write may still come. The row tells.
   lead.m_uncertain = result.m_outcome == StoreOutcome::kMismatch ||
--- a/src/gateway/member_system.cc
+++ b/src/gateway/member_system.cc
@@ -43,7 +43,7 @@
       member.m_heard = now.m_steady;  // the lease is new: give it time
     }
     const TimePoint drop_at =
-        member.m_heard + tables.m_settings.m_member_silence;
+        member.m_heard + tables.m_settings.m_member_silence_timeout;
     if (now.m_steady < drop_at) {
       tables.WakeAt(drop_at);
       return;
@@ -61,7 +61,7 @@
   size_t heard = 0;
   tables.m_members.ForEach([&](MemberId, const MemberRow& member) {
     const Duration silence = now.m_steady - member.m_heard;
-    heard += silence < tables.m_settings.m_unheard_after ? 1 : 0;
+    heard += silence < tables.m_settings.m_contact_silence_timeout ? 1 : 0;
   });
   const size_t listed = std::max<size_t>(1, tables.m_members.size());
   return static_cast<double>(heard) / static_cast<double>(listed);
@@ -71,7 +71,7 @@
                           const MemberReport& report,
                           const Now& now) {
   TokenResponse response;
-  response.m_lifetime = tables.m_settings.m_token_life;
+  response.m_lifetime = tables.m_settings.m_token_ttl;
   if (!tables.m_routes) {
     return response;
   }
@@ -140,7 +140,7 @@
     return;  // a silent member was dropped; the watch reports it
   }
   tables.m_member_busy = false;
-  tables.m_member_next = now.m_steady + tables.m_settings.m_store_retry;
+  tables.m_member_next = now.m_steady + tables.m_settings.m_store_retry_delay;
   if (result.m_outcome == StoreOutcome::kDone) {
     tables.m_member_listed = write.m_value.has_value();
     tables.m_member_version = result.m_version;
@@ -211,7 +211,8 @@
   NoteProgress(tables, digest, now);
   tables.m_relayed_until = TimePoint();
   if (digest.m_relaying) {
-    tables.m_relayed_until = now.m_steady + tables.m_settings.m_relay_silence;
+    tables.m_relayed_until =
+        now.m_steady + tables.m_settings.m_relay_silence_timeout;
     // The rows are the leader's, so its contact with the store counts.
     tables.m_servers_contact_since =
         now.m_steady - milliseconds(digest.m_servers_contact_age);
--- a/src/gateway/owners_system.cc
+++ b/src/gateway/owners_system.cc
@@ -28,8 +28,9 @@
   const OwnershipSettings& settings = tables.m_settings;
   // Whatever the leader before granted has lapsed after this.
   const TimePoint held_until =
-      now.m_steady + std::chrono::duration_cast<Duration>(
-                         settings.m_outage_hold * (1 + settings.m_clock_drift));
+      now.m_steady +
+      std::chrono::duration_cast<Duration>(settings.m_outage_grant_ttl *
+                                           (1 + settings.m_clock_drift));
   for (const OwnedRange& owned : record.m_ranges) {
     RangeRow row;
     row.m_service = id;
@@ -124,7 +125,8 @@
     return;
   }
   service->m_busy = false;
-  service->m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
+  service->m_next_operation =
+      now.m_steady + tables.m_settings.m_store_retry_delay;
   if (result.m_outcome != StoreOutcome::kDone) {
     return;
   }
@@ -175,7 +177,8 @@
   service->m_dirty = true;
   service->m_uncertain = result.m_outcome == StoreOutcome::kMismatch ||
                          result.m_outcome == StoreOutcome::kUnknown;
-  service->m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
+  service->m_next_operation =
+      now.m_steady + tables.m_settings.m_store_retry_delay;
 }
 
 }  // namespace foxtail
--- a/src/gateway/packed_owners.cc
+++ b/src/gateway/packed_owners.cc
@@ -38,7 +38,7 @@
         {static_cast<uint16_t>(owned.m_range.m_first),
          static_cast<uint16_t>(owned.m_range.m_last),
          IndexOf(packed.m_servers, {owned.m_server, owned.m_incarnation}),
-         owned.m_settled});
+         owned.m_grant_confirmed});
     for (const std::string& server : owned.m_previous) {
       packed.m_previous.emplace_back(index, server);
     }
@@ -55,7 +55,7 @@
     record.m_ranges.push_back({{range.m_first, range.m_last},
                                server.m_id,
                                server.m_incarnation,
-                               range.m_settled,
+                               range.m_grant_confirmed,
                                {}});
   }
   for (const auto& [index, server] : packed.m_previous) {
--- a/src/gateway/packed_owners.h
+++ b/src/gateway/packed_owners.h
@@ -22,7 +22,7 @@
   uint16_t m_first = 0;
   uint16_t m_last = 0;
   uint16_t m_server = 0;
-  bool m_settled = false;
+  bool m_grant_confirmed = false;
 };
 
 /// An owners record as it is stored and sent: each server is named once, since
--- a/src/gateway/range_placement_system.cc
+++ b/src/gateway/range_placement_system.cc
@@ -257,7 +257,8 @@
       tables.WakeAt(service.m_next_rebalance);
       return;
     }
-    service.m_next_rebalance = now.m_steady + tables.m_settings.m_rebalance;
+    service.m_next_rebalance =
+        now.m_steady + tables.m_settings.m_rebalance_interval;
     plan = relieve.Plan(ranges.m_planned, servers, weights);
   }
   if (plan != ranges.m_planned) {
@@ -276,12 +277,12 @@
   }
   return server->m_failed_orders == 0 ||
          now.m_steady - server->m_failing_since <
-             tables.m_settings.m_unreachable_after;
+             tables.m_settings.m_server_unreachable_timeout;
 }
 
 void RangePlacementSystem::Run(GatewayTables& tables, const Now& now) {
-  const TimePoint gathered =
-      tables.m_servers_contact_since + tables.m_settings.m_gather;
+  const TimePoint gathered = tables.m_servers_contact_since +
+                             tables.m_settings.m_registration_grace_period;
   if (!tables.m_servers_read || !tables.IsLeading(now)) {
     return;
   }
--- a/src/gateway/rate_gate.cc
+++ b/src/gateway/rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "gateway/rate_gate.h"
+#include "gateway/rate_limiter.h"
 
 #include <algorithm>
 
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-RateGate::RateGate(const OwnershipSettings& settings)
+RateLimiter::RateLimiter(const OwnershipSettings& settings)
     : m_settings(settings),
       m_budget(std::make_unique<WholeDemandShare>(kHorizon)) {}
 
-void RateGate::Acquire(const RoutedWorkspace& workspace,
-                       size_t members,
-                       TimePoint deadline) {
+void RateLimiter::Acquire(const RoutedWorkspace& workspace,
+                          size_t members,
+                          TimePoint deadline) {
   if (workspace.m_rate <= 0) {
     return;
   }
@@ -44,7 +44,8 @@
     throw Error(ErrorCode::kRateExceeded, name);
   }
   bool taken = false;
-  const bool heard = start - m_leader_heard < m_settings.m_unheard_after;
+  const bool heard =
+      start - m_leader_heard < m_settings.m_contact_silence_timeout;
   const TimePoint until = std::min(deadline, start + kTokenWait);
   m_budget.AddWaiting(name);
   while (heard && !taken && Clock::now() < until &&
@@ -63,15 +64,15 @@
   }
 }
 
-void RateGate::GiveBack(const std::string& workspace) {
-  m_budget.GiveBack(workspace, Clock::now() + m_settings.m_token_life);
+void RateLimiter::GiveBack(const std::string& workspace) {
+  m_budget.GiveBack(workspace, Clock::now() + m_settings.m_token_ttl);
 }
 
-std::vector<TokenDemand> RateGate::BuildDemands(TimePoint now) {
+std::vector<TokenDemand> RateLimiter::BuildDemands(TimePoint now) {
   return m_budget.BuildDemands(now);
 }
 
-void RateGate::OnLeaderWord(const LeaderWord& word) {
+void RateLimiter::OnLeaderWord(const LeaderWord& word) {
   m_leader_heard = Clock::now();
   m_budget.OnGrants(word.m_tokens, word.m_report_sent);
   m_granted.Notify();
--- a/src/gateway/rate_gate.h
+++ b/src/gateway/rate_limiter.h
@@ -3,7 +3,7 @@
 #include <functional>
 #include <string>
 
-#include "gateway/even_share.h"
+#include "gateway/equal_share_limiter.h"
 #include "gateway/gateway_tables.h"
 #include "runtime/fiber_event.h"
 #include "traffic/token_budget.h"
@@ -12,9 +12,9 @@
 
 /// Admits requests within their workspaces' rates: with tokens of the leader,
 /// or, while the leader is not heard, with an even part of the rate.
-class RateGate {
+class RateLimiter {
  public:
-  explicit RateGate(const OwnershipSettings& settings);
+  explicit RateLimiter(const OwnershipSettings& settings);
 
   /// Sets what is called when a request waits for tokens.
   void SetWanted(std::function<void()> wanted) { m_wanted = std::move(wanted); }
@@ -37,7 +37,7 @@
  private:
   const OwnershipSettings& m_settings;
   TokenBudget m_budget;
-  EvenShare m_even;
+  EqualShareLimiter m_even;
   FiberEvent m_granted;
   TimePoint m_leader_heard;
   std::function<void()> m_wanted;
--- a/src/gateway/relay_system.cc
+++ b/src/gateway/relay_system.cc
@@ -62,7 +62,7 @@
 bool RelaySystem::IsRelaying(const GatewayTables& tables, const Now& now) {
   const auto is_recent = [&](WatchedKind kind) {
     return now.m_boot - tables.m_progress[kind].m_read_at <
-           tables.m_settings.m_relay_read_age;
+           tables.m_settings.m_relay_max_read_age;
   };
   return is_recent(kOperatorRows) && is_recent(kServerRows);
 }
@@ -77,16 +77,16 @@
   const OwnershipSettings& settings = tables.m_settings;
   const WatchProgress& progress = tables.m_progress[kind];
   if (progress.m_behind_since != TimePoint() &&
-      now.m_steady - progress.m_behind_since > settings.m_behind_limit) {
+      now.m_steady - progress.m_behind_since > settings.m_max_lag) {
     return true;
   }
   if (tables.IsLeading(now)) {
     // What the leader writes itself shows by the watch, or it is behind.
     return kind != kClusterRows &&
-           now.m_boot - progress.m_read_at > settings.m_leader_read_age;
+           now.m_boot - progress.m_read_at > settings.m_leader_refresh_age;
   }
-  return kind == kOperatorRows &&
-         now.m_boot - tables.m_operators_read_at > settings.m_member_read_age;
+  return kind == kOperatorRows && now.m_boot - tables.m_operators_read_at >
+                                      settings.m_member_refresh_age;
 }
 
 }  // namespace foxtail
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -108,12 +108,12 @@
 };
 
 RequestHandler::RequestHandler(const GatewaySettings& settings,
-                               const ClientFront& front,
+                               const FrontEnd& front,
                                const AccessFreshness& freshness,
                                RequestLog& log,
                                Metrics& metrics)
     : m_settings(settings),
-      m_front(front),
+      m_front_end(front),
       m_freshness(freshness),
       m_log(log),
       m_metrics(metrics),
@@ -154,7 +154,7 @@
     }
     // Clients wait at most a third of the time that they have left.
     const Duration left = call.m_deadline - Clock::now();
-    return m_front.Failure(error, std::min(after, left / 3));
+    return m_front_end.BuildErrorResponse(error, std::min(after, left / 3));
   }
 }
 
@@ -170,7 +170,7 @@
 }
 
 HttpResponse RequestHandler::Run(HttpRequest& request, Call& call) {
-  call.m_request = m_front.Decode(request);
+  call.m_request = m_front_end.Decode(request);
   call.m_deadline =
       call.m_started + call.m_request.m_deadline.value_or(kDefaultDeadline);
   Resolve(call);
@@ -243,7 +243,7 @@
     HttpResponse response;
     const Verdict verdict = Attempt(request, call, *server, response);
     if (verdict == Verdict::kAnswered) {
-      return m_front.ForClient(std::move(response));
+      return m_front_end.BuildClientResponse(std::move(response));
     }
     if (call.HasLeft()) {
       throw Error(ErrorCode::kClientLeft);
@@ -253,7 +253,7 @@
     }
     switch (verdict) {
       case Verdict::kFailed:
-        return m_front.ForClient(std::move(response));
+        return m_front_end.BuildClientResponse(std::move(response));
       case Verdict::kLost:
         ThrowFailure(call, ErrorCode::kServerLost, ErrorCode::kServerLost);
         break;
@@ -283,7 +283,8 @@
 }
 
 const RoutedServer* RequestHandler::FindTarget(Call& call) {
-  const RoutedPlaces* places = call.m_snapshot->FindPlaces(call.m_service);
+  const ServiceEndpoints* places =
+      call.m_snapshot->FindEndpoints(call.m_service);
   if (!places) {
     return nullptr;
   }
@@ -302,9 +303,10 @@
 }
 
 const RoutedServer* RequestHandler::FindOwner(Call& call) {
-  const RoutedPlaces* places = call.m_snapshot->FindPlaces(call.m_service);
+  const ServiceEndpoints* places =
+      call.m_snapshot->FindEndpoints(call.m_service);
   const RoutedRange* range = places->FindRange(*call.m_request.m_shard_key);
-  if (!range || !range->m_settled) {
+  if (!range || !range->m_grant_confirmed) {
     return nullptr;
   }
   const auto server = places->m_servers.find(range->m_server);
@@ -381,13 +383,13 @@
   ++call.m_attempts;
   call.m_last_server = server.m_id;
   call.m_tried.insert(server.m_id);
-  HttpRequest forwarded = m_front.ForServer(
+  HttpRequest forwarded = m_front_end.BuildServerRequest(
       request, {server.m_id, call.WorkspaceName(), call.m_deadline - started});
-  ServerAnswer answer;
+  ServerResponse answer;
   ExchangeOptions options;
   options.m_belongs = [&](const HttpResponse& received) {
-    answer = m_front.Judge(call.m_request, received);
-    return answer.m_kind != AnswerKind::kInvalid;
+    answer = m_front_end.Classify(call.m_request, received);
+    return answer.m_kind != ResponseKind::kInvalid;
   };
   options.m_new_connection = call.m_attempts > 1;
   ExchangeResult result = m_client.Exchange(
@@ -403,7 +405,7 @@
     const RoutedServer& server,
     TimePoint started,
     ExchangeResult& result,
-    const ServerAnswer& answer,
+    const ServerResponse& answer,
     HttpResponse& response) {
   const TimePoint now = Clock::now();
   const SendServerId id = m_system.RowOf(server, now);
@@ -419,19 +421,19 @@
     call.m_maybe_ran = true;
     return Verdict::kLost;
   }
-  m_system.OnEnded(id, answer.m_load, answer.m_kind == AnswerKind::kAnswer,
+  m_system.OnEnded(id, answer.m_load, answer.m_kind == ResponseKind::kComplete,
                    latency, now);
   switch (answer.m_kind) {
-    case AnswerKind::kAnswer:
+    case ResponseKind::kComplete:
       response = std::move(result.m_response);
       // A failure at the server is worth a second try if that does no harm.
       return response.m_status >= 500 ? Verdict::kFailed : Verdict::kAnswered;
-    case AnswerKind::kNotRun:
+    case ResponseKind::kNotRun:
       m_system.OnRefused(id);
       return Verdict::kRefused;
-    case AnswerKind::kMisdirected:
+    case ResponseKind::kMisdirected:
       return Verdict::kMisdirected;
-    case AnswerKind::kInvalid:
+    case ResponseKind::kInvalid:
       break;
   }
   call.m_maybe_ran = true;
--- a/src/gateway/request_handler.h
+++ b/src/gateway/request_handler.h
@@ -8,12 +8,12 @@
 #include <unordered_map>
 
 #include "core/metrics.h"
-#include "gateway/client_front.h"
-#include "gateway/part_chooser.h"
-#include "gateway/rate_gate.h"
+#include "gateway/front_end.h"
+#include "gateway/rate_limiter.h"
 #include "gateway/request_log.h"
 #include "gateway/routing_snapshot.h"
 #include "gateway/send_system.h"
+#include "gateway/traffic_splitter.h"
 #include "runtime/fiber_event.h"
 #include "runtime/http_client.h"
 #include "traffic/retry_budget.h"
@@ -34,7 +34,7 @@
 class RequestHandler {
  public:
   RequestHandler(const GatewaySettings& settings,
-                 const ClientFront& front,
+                 const FrontEnd& front,
                  const AccessFreshness& freshness,
                  RequestLog& log,
                  Metrics& metrics);
@@ -49,7 +49,7 @@
   /// that had them if `with_loads`.
   MemberReport TakeReport(TimePoint now, bool with_loads);
 
-  RateGate& GetRates() { return m_rates; }
+  RateLimiter& GetRates() { return m_rates; }
 
   /// Forgets what was not used lately.
   void Expire(TimePoint now) { m_system.Expire(now); }
@@ -84,7 +84,7 @@
                         const RoutedServer& server,
                         TimePoint started,
                         ExchangeResult& result,
-                        const ServerAnswer& answer,
+                        const ServerResponse& answer,
                         HttpResponse& response);
   bool MayRetry(Call& call, Verdict verdict);
   void ThrowFailure(const Call& call, ErrorCode not_run, ErrorCode unknown);
@@ -94,14 +94,14 @@
   void WakeNext(SendServerId id);
 
   const GatewaySettings& m_settings;
-  const ClientFront& m_front;
+  const FrontEnd& m_front_end;
   const AccessFreshness& m_freshness;
   RequestLog& m_log;
   Metrics& m_metrics;
   HttpClient m_client;
   SendSystem m_system;
-  RateGate m_rates;
-  PartChooser m_parts;
+  RateLimiter m_rates;
+  TrafficSplitter m_parts;
   std::shared_ptr<const RoutingSnapshot> m_snapshot;
   std::map<std::string, RetryBudget> m_budgets;
 
--- a/src/gateway/routing_snapshot.cc
+++ b/src/gateway/routing_snapshot.cc
@@ -31,14 +31,14 @@
 std::vector<RoutedRange> RangesOf(const OwnersRecord& record) {
   std::vector<RoutedRange> ranges;
   for (const OwnedRange& owned : record.m_ranges) {
-    ranges.push_back({owned.m_range, owned.m_server, owned.m_settled});
+    ranges.push_back({owned.m_range, owned.m_server, owned.m_grant_confirmed});
   }
   return ranges;
 }
 
 }  // namespace
 
-const RoutedRange* RoutedPlaces::FindRange(uint32_t key) const {
+const RoutedRange* ServiceEndpoints::FindRange(uint32_t key) const {
   const auto after = std::ranges::upper_bound(
       m_ranges, key, {},
       [](const RoutedRange& range) { return range.m_range.m_first; });
@@ -48,10 +48,10 @@
   return &*std::prev(after);
 }
 
-const RoutedPlaces* RoutingSnapshot::FindPlaces(
+const ServiceEndpoints* RoutingSnapshot::FindEndpoints(
     const std::string& service) const {
-  const auto found = m_places.find(service);
-  return found == m_places.end() ? nullptr : &found->second;
+  const auto found = m_endpoints.find(service);
+  return found == m_endpoints.end() ? nullptr : &found->second;
 }
 
 std::shared_ptr<const RoutingSnapshot> BuildSnapshot(
@@ -60,11 +60,11 @@
   snapshot->m_routes = tables.m_routes;
   tables.m_servers.ForEach([&](ServerId, const ServerRow& server) {
     RoutedServer routed = RoutedOf(server);
-    auto& servers = snapshot->m_places[server.m_entry.m_service].m_servers;
+    auto& servers = snapshot->m_endpoints[server.m_entry.m_service].m_servers;
     servers.emplace(routed.m_id, std::move(routed));
   });
   for (const auto& [service, record] : tables.m_owners) {
-    snapshot->m_places[service].m_ranges = RangesOf(record);
+    snapshot->m_endpoints[service].m_ranges = RangesOf(record);
   }
   snapshot->m_members = std::max<size_t>(1, tables.m_members.size());
   return snapshot;
--- a/src/gateway/routing_snapshot.h
+++ b/src/gateway/routing_snapshot.h
@@ -28,11 +28,11 @@
 struct RoutedRange {
   KeyRange m_range;
   std::string m_server;
-  bool m_settled = false;
+  bool m_grant_confirmed = false;
 };
 
 /// Servers and owners of one service.
-struct RoutedPlaces {
+struct ServiceEndpoints {
   std::map<std::string, RoutedServer> m_servers;
 
   /// In order of keys; empty for services without shard keys.
@@ -45,13 +45,13 @@
 /// What traffic threads act on; never changed once published.
 struct RoutingSnapshot {
   std::shared_ptr<const RouteIndex> m_routes;
-  std::map<std::string, RoutedPlaces> m_places;
+  std::map<std::string, ServiceEndpoints> m_endpoints;
 
   /// Listed members, at least 1.
   size_t m_members = 1;
 
   /// Returns the service's places, or null.
-  const RoutedPlaces* FindPlaces(const std::string& service) const;
+  const ServiceEndpoints* FindEndpoints(const std::string& service) const;
 };
 
 /// Builds a snapshot of the tables.
--- a/src/gateway/send_system.cc
+++ b/src/gateway/send_system.cc
@@ -229,7 +229,7 @@
   return FromSeconds(static_cast<double>(members) / cold_rate);
 }
 
-const RoutedServer* ChooseServer(const RoutedPlaces& places,
+const RoutedServer* ChooseServer(const ServiceEndpoints& places,
                                  const std::string& data_centre,
                                  const std::set<std::string>& tried,
                                  SendSystem& system,
--- a/src/gateway/send_system.h
+++ b/src/gateway/send_system.h
@@ -138,7 +138,7 @@
 
 /// Chooses a server of a service without shard keys: least loaded, the own data
 /// centre first. Returns null when there is none. `tried` are left out.
-const RoutedServer* ChooseServer(const RoutedPlaces& places,
+const RoutedServer* ChooseServer(const ServiceEndpoints& places,
                                  const std::string& data_centre,
                                  const std::set<std::string>& tried,
                                  SendSystem& system,
--- a/src/gateway/send_window.h
+++ b/src/gateway/send_window.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/time.h"
-#include "gateway/client_front.h"
+#include "gateway/front_end.h"
 
 namespace foxtail {
 
--- a/src/gateway/part_chooser.cc
+++ b/src/gateway/traffic_splitter.cc
@@ -1,10 +1,10 @@
-#include "gateway/part_chooser.h"
+#include "gateway/traffic_splitter.h"
 
 #include <cassert>
 
 namespace foxtail {
 
-const std::string& PartChooser::Choose(const RouteRow& route) {
+const std::string& TrafficSplitter::Choose(const RouteRow& route) {
   assert(!route.m_parts.empty());
   if (route.m_parts.size() == 1) {
     return route.m_parts.front().m_service;
--- a/src/gateway/part_chooser.h
+++ b/src/gateway/traffic_splitter.h
@@ -10,7 +10,7 @@
 
 /// Distributes a route's requests over its parts in proportion to their
 /// weights, by smooth weighted round robin: exact also over few requests.
-class PartChooser {
+class TrafficSplitter {
  public:
   /// Returns the service of the next request on a route.
   const std::string& Choose(const RouteRow& route);
--- a/tests/gateway/send_system_test.cc
+++ b/tests/gateway/send_system_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "gateway/part_chooser.h"
+#include "gateway/traffic_splitter.h"
 
 namespace foxtail {
 namespace {
@@ -92,7 +92,7 @@
 
 TEST(SendSystemTest, TheLeastLoadedServerNearbyIsChosen) {
   SendSystem system;
-  RoutedPlaces places;
+  ServiceEndpoints places;
   for (const char* name : {"a", "b", "c"}) {
     places.m_servers.emplace(name, ServerNamed(name));
   }
@@ -113,7 +113,7 @@
   RouteRow route;
   route.m_name = "r";
   route.m_parts = {{"a", 90}, {"b", 10}};
-  PartChooser chooser;
+  TrafficSplitter chooser;
   std::map<std::string, int> counts;
   for (int i = 0; i < 20; ++i) {
     ++counts[chooser.Choose(route)];
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -186,7 +186,7 @@
   EXPECT_EQ(decoded.m_shard_key, 17U);
   EXPECT_EQ(decoded.m_deadline, milliseconds(250));
   const HttpRequest sent =
-      front.ForServer(request, {"i-1", "w", milliseconds(200)});
+      front.BuildServerRequest(request, {"i-1", "w", milliseconds(200)});
   EXPECT_EQ(sent.m_target, request.m_target);
   EXPECT_FALSE(sent.m_headers.Get("X-Foxtailcart-Credential"));
   EXPECT_EQ(sent.m_headers.GetOr("X-Foxtailcart-Tenant", ""), "w");
@@ -206,22 +206,22 @@
     for (const HttpHeader& header : headers) {
       response.m_headers.Add(header.m_name, header.m_value);
     }
-    return front.Judge(request, response).m_kind;
+    return front.Classify(request, response).m_kind;
   };
   const HttpHeader id{"X-Foxtailcart-Request-Id", "r1"};
   const HttpHeader other{"X-Foxtailcart-Request-Id", "r2"};
   const HttpHeader stamp{"X-Foxtailcart-Response-Stamp", "s"};
   const HttpHeader not_run{"X-Foxtailcart-Not-Executed", "1"};
   const HttpHeader coded{"Content-Encoding", "gzip"};
-  EXPECT_EQ(kind_of(200, {id, stamp}), AnswerKind::kAnswer);
-  EXPECT_EQ(kind_of(200, {other, stamp}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(200, {id}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(200, {stamp}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(200, {id, stamp, coded}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(500, {id, stamp}), AnswerKind::kAnswer);
-  EXPECT_EQ(kind_of(503, {id, not_run}), AnswerKind::kNotRun);
-  EXPECT_EQ(kind_of(503, {id}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(421, {}), AnswerKind::kMisdirected);
+  EXPECT_EQ(kind_of(200, {id, stamp}), ResponseKind::kComplete);
+  EXPECT_EQ(kind_of(200, {other, stamp}), ResponseKind::kInvalid);
+  EXPECT_EQ(kind_of(200, {id}), ResponseKind::kInvalid);
+  EXPECT_EQ(kind_of(200, {stamp}), ResponseKind::kInvalid);
+  EXPECT_EQ(kind_of(200, {id, stamp, coded}), ResponseKind::kInvalid);
+  EXPECT_EQ(kind_of(500, {id, stamp}), ResponseKind::kComplete);
+  EXPECT_EQ(kind_of(503, {id, not_run}), ResponseKind::kNotRun);
+  EXPECT_EQ(kind_of(503, {id}), ResponseKind::kInvalid);
+  EXPECT_EQ(kind_of(421, {}), ResponseKind::kMisdirected);
 }
 
 }  // namespace
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -245,7 +245,7 @@
   for (uint32_t i = 0; i < kSampledKeys; ++i) {
     if (command.m_keys.Contains(i * kKeysPerSample)) {
       fake.m_holds[i] = {command.m_fence, command.m_fence,
-                         m_now + command.m_hold};
+                         m_now + command.m_grant_ttl};
     }
   }
   return OrderOutcome::kDone;
@@ -261,10 +261,10 @@
   if (reached && chance(m_random) < m_late_grants) {
     // Its time counts from its arrival, so what is left of it is applied.
     GrantCommand late = command;
-    late.m_hold -= m_late_by;
+    late.m_grant_ttl -= m_late_by;
     m_later.emplace(m_now + m_late_by, [this, server, incarnation, late] {
       const bool same = m_servers[server].m_incarnation == incarnation;
-      if (m_servers[server].m_up && same && late.m_hold > Duration(0)) {
+      if (m_servers[server].m_up && same && late.m_grant_ttl > Duration(0)) {
         Apply(server, late);
       }
     });
@@ -424,11 +424,11 @@
   size_t routed = 0;
   for (const FakeHost& host : m_hosts) {
     const auto snapshot = BuildSnapshot(host.m_tables);
-    const RoutedPlaces* places = snapshot->FindPlaces(kService);
+    const ServiceEndpoints* places = snapshot->FindEndpoints(kService);
     const RoutedRange* range =
         places ? places->FindRange(sample * kKeysPerSample) : nullptr;
     for (size_t server = 0; server < m_servers.size(); ++server) {
-      routed += range && range->m_settled &&
+      routed += range && range->m_grant_confirmed &&
                         range->m_server == ServerName(server) &&
                         m_servers[server].Holds(sample, m_now)
                     ? 1
