--- a/src/gateway/front_end.h
+++ b/src/gateway/front_end.h
@@ -9,7 +9,7 @@
 
 namespace foxtail {
 
-/// A client's request as far as decisions need it.
+/// The fields of a client's request that routing decisions use.
 struct ClientRequest {
   std::string m_request_id;
   std::string m_host;
@@ -17,68 +17,77 @@
   /// Path without the query.
   std::string m_path;
   std::string m_api_key;
+
+  /// Time until the deadline, counted from the arrival of the request.
   std::optional<Duration> m_deadline;
   std::optional<uint32_t> m_shard_key;
 };
 
-/// What a backend server gets with a request.
+/// Values that `BuildServerRequest` adds to a request for a backend server.
 struct ForwardingMetadata {
   std::string m_server_id;
   std::string m_workspace;
+
+  /// Time left until the deadline.
   Duration m_deadline{};
 };
 
-/// How loaded a backend server says it is.
+/// The load that a backend server reports with a response, in requests.
 struct LoadReport {
   uint32_t m_running = 0;
   uint32_t m_waiting = 0;
   uint32_t m_slots = 1;
 
-  /// How long work takes on its machine now, relative to the usual, if it says.
+  /// Current processing time on the server's machine relative to the usual
+  /// time; absent if the server does not report it.
   std::optional<double> m_slowdown;
 };
 
-/// What a backend server's response means.
+/// Classification of a backend server's response.
 enum class ResponseKind {
-  /// The server's complete answer, of any status.
+  /// A complete response from the server, of any status.
   kComplete,
   /// The server did not run the request.
   kNotRun,
-  /// Another server has the address, or this one does not hold the key.
+  /// The address now belongs to another server, or the server does not own the
+  /// key.
   kMisdirected,
-  /// Not an answer to this request; it is unknown whether it ran.
+  /// The response is not a valid response of this server to the request; it is
+  /// unknown whether the request ran.
   kInvalid,
 };
 
-/// A backend server's response as far as decisions need it.
+/// The parts of a backend server's response that routing decisions use.
 struct ServerResponse {
   ResponseKind m_kind = ResponseKind::kInvalid;
   std::optional<LoadReport> m_load;
 };
 
-/// How clients' requests and servers' answers are encoded. Decisions use only
-/// the decoded types, so that another front can use them.
+/// Decodes clients' requests and servers' responses, and encodes what is sent
+/// to either. Routing decisions see only the typed results, so another front
+/// end can reuse them.
 class FrontEnd {
  public:
   virtual ~FrontEnd() = default;
 
-  /// Decodes a request. Throws `Error(kRequestMalformed)`.
+  /// Decodes a client's request. Throws `Error(kRequestMalformed)`.
   virtual ClientRequest Decode(const HttpRequest& request) const = 0;
 
-  /// Builds the request for a server from the client's.
+  /// Builds the request that is forwarded to a server from the client's
+  /// request.
   virtual HttpRequest BuildServerRequest(
       const HttpRequest& request,
-      const ForwardingMetadata& addressee) const = 0;
+      const ForwardingMetadata& metadata) const = 0;
 
-  /// Judges a server's response to a request.
+  /// Classifies a server's response to a request.
   virtual ServerResponse Classify(const ClientRequest& request,
                                   const HttpResponse& response) const = 0;
 
   /// Builds the client's response from the server's.
   virtual HttpResponse BuildClientResponse(HttpResponse response) const = 0;
 
-  /// Builds the response that reports a failure. `retry_after` tells the client
-  /// when to come back with a request that did not run.
+  /// Builds the response that reports an error. `retry_after` is the delay
+  /// after which the client should retry a request that did not run.
   virtual HttpResponse BuildErrorResponse(const Error& error,
                                           Duration retry_after) const = 0;
 };
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -10,108 +10,114 @@
 
 namespace foxtail {
 
-/// Times and limits of the control decisions.
+/// Time limits and intervals of the control decisions.
 struct OwnershipSettings {
-  /// Validity of the leader lease. Below the hold of a grant, so that a
-  /// successor renews before keys lapse.
+  /// TTL of the leader lease. Below the TTL of a grant, so that a successor
+  /// renews grants before they expire.
   Duration m_leader_lease_ttl = std::chrono::milliseconds(2000);
 
-  /// Pause between renewals of the leader lease: three tries a validity.
+  /// Interval between renewals of the leader lease: three attempts within its
+  /// TTL.
   Duration m_leader_lease_renew_period = std::chrono::milliseconds(650);
 
-  /// What the leader's own right ends before its lease: covers a check that
-  /// was made just before an order went out.
+  /// The leader stops acting this long before its lease expires. Covers a check
+  /// that passed just before a call to a backend server was sent.
   Duration m_leader_lease_margin = std::chrono::milliseconds(150);
 
-  /// Time without a word of the leader after which others read its row.
+  /// Time without a message from the leader after which other members read the
+  /// leader lease.
   Duration m_leader_silence_timeout = std::chrono::milliseconds(900);
 
-  /// Pause between reads of the leader's row, and what each later member in
-  /// order waits longer, so that not all of them read at once.
+  /// Interval between reads of the leader lease, and the extra delay for each
+  /// rank among the members, so that the members do not all read at once.
   Duration m_leader_lease_read_period = std::chrono::milliseconds(250);
   Duration m_rank_delay = std::chrono::milliseconds(120);
 
-  /// Hold of a grant, and pause between its renewals (three tries a hold). A
-  /// shorter hold frees the keys of a lost server sooner.
+  /// TTL of a grant, and the interval between its renewals (three attempts
+  /// within the TTL). A shorter TTL frees the keys of a lost server sooner.
   Duration m_grant_ttl = std::chrono::milliseconds(4000);
   Duration m_grant_renew_period = std::chrono::milliseconds(1300);
 
-  /// A shorter hold than this is not worth an order.
+  /// A grant is not sent if its TTL would be shorter than this.
   Duration m_min_grant_ttl = std::chrono::milliseconds(300);
 
-  /// Hold of a grant that only shows a server a higher token.
+  /// TTL of a grant that only informs a server of a higher fencing token.
   Duration m_fencing_grant_ttl = std::chrono::milliseconds(1);
 
-  /// Hold while the store does not answer: the longest that servers accept.
+  /// TTL of a grant while the store does not respond: the longest that servers
+  /// accept.
   Duration m_outage_grant_ttl = std::chrono::seconds(10);
 
-  /// A server's clock may run this much slow.
+  /// Fraction by which a server's clock may run slow.
   double m_clock_drift = 0.02;
 
-  /// Longest time for one order to a server.
+  /// Timeout of one call to a backend server.
   Duration m_server_call_timeout = std::chrono::milliseconds(700);
 
-  /// Longest time for a release, which waits for running requests.
+  /// Timeout of a release call, which waits for running requests.
   Duration m_release_call_timeout = std::chrono::milliseconds(1500);
 
-  /// Pause before an order is tried again.
+  /// Delay before a failed call to a backend server is retried.
   Duration m_server_call_retry_delay = std::chrono::milliseconds(250);
 
-  /// Time for which a server must fail all orders before its keys are moved.
+  /// A server is unreachable, and its keys move, after all calls to it have
+  /// failed for this long.
   Duration m_server_unreachable_timeout = std::chrono::milliseconds(900);
 
-  /// Time after the leader's start, or after a change, in which servers gather
-  /// before keys are dealt out.
+  /// Grace period after the leader's start, or after a change, in which servers
+  /// register before keys are assigned.
   Duration m_registration_grace_period = std::chrono::milliseconds(600);
 
-  /// Pause between planned moves that even out load, so that the effect of one
-  /// is seen before the next.
+  /// Interval between moves that balance load, so that the effect of one move
+  /// is measured before the next.
   Duration m_rebalance_interval = std::chrono::milliseconds(600);
 
-  /// Pause between reports to the leader, and the shortest one when requests
-  /// wait for tokens.
+  /// Interval between reports to the leader, and the shortest interval when
+  /// requests wait for tokens.
   Duration m_report_period = std::chrono::milliseconds(400);
   Duration m_min_report_interval = std::chrono::milliseconds(25);
 
-  /// Pause between reports of load and speed: a key that becomes busy must show
-  /// well within a second.
+  /// Interval between reports of load and speed: a key that becomes hot must be
+  /// detected well within a second.
   Duration m_load_report_period = std::chrono::milliseconds(400);
 
-  /// Time in which confirmed moves gather before they are recorded: each record
-  /// goes to all daemons.
+  /// Confirmed moves are batched for this long before they are recorded,
+  /// because each record is sent to all gateways.
   Duration m_confirmation_batch_delay = std::chrono::milliseconds(30);
 
-  /// Silence after which a member or the leader counts as not heard.
+  /// Time without a message after which a member or the leader counts as
+  /// unreachable.
   Duration m_contact_silence_timeout = std::chrono::milliseconds(1300);
 
-  /// Life of a token, and for how long it counts as out. The difference covers
-  /// clock drift and a late report.
+  /// TTL of a token at a member, and the time for which the leader counts the
+  /// token as outstanding. The difference covers clock drift and a late report.
   std::chrono::milliseconds m_token_ttl{1000};
   Duration m_outstanding_token_ttl = std::chrono::milliseconds(1100);
 
-  /// Age of the configuration at which the leader, and others, read it
-  /// themselves. The difference leaves the reading to the leader.
+  /// Age of the configuration at which the leader and the other members,
+  /// respectively, read the configuration from the store themselves. The longer
+  /// time of the members leaves the read to the leader.
   Duration m_leader_refresh_age = std::chrono::milliseconds(700);
   Duration m_member_refresh_age = std::chrono::milliseconds(2300);
 
-  /// Members leave the watching to a leader whose reads are not older than
-  /// this, and to one that was heard not longer ago than this. Together with a
-  /// report period well below the time within which servers must get no new
-  /// work.
+  /// Members rely on the leader to watch the store while the leader's reads are
+  /// not older than the first time and its last message is not older than the
+  /// second. Together with a report period, both are well below the time within
+  /// which servers must stop receiving new work.
   Duration m_relay_max_read_age = std::chrono::milliseconds(1000);
   Duration m_relay_silence_timeout = std::chrono::milliseconds(900);
 
-  /// Time a change that the leader knows of may be unknown here before the
-  /// table is read without waiting for the watch.
+  /// A table is read without waiting for its watch once a change that the
+  /// leader knows of has been missing here for this long.
   Duration m_max_lag = std::chrono::milliseconds(300);
 
-  /// Silence after which the leader takes a member off the list.
+  /// Time without a report after which the leader deregisters a member.
   Duration m_member_silence_timeout = std::chrono::seconds(20);
 
-  /// Longest time for one read or write of the store.
+  /// Timeout of one read or write of the store.
   Duration m_store_timeout = std::chrono::milliseconds(900);
 
-  /// Pause after a call that the store did not carry out.
+  /// Delay before a failed store call is retried.
   Duration m_store_retry_delay = std::chrono::milliseconds(250);
 };
 
@@ -127,17 +133,18 @@
   std::string m_processor_share = "1";
 
   /// Age of the configuration beyond which requests with an API key are
-  /// refused, so that a withdrawn key stops working.
+  /// refused, so that a revoked key stops working.
   std::chrono::milliseconds m_access_lifetime{4500};
 
-  /// Time without new requests before a planned stop closes connections: the
-  /// balancer takes a host out after two missed checks, one second apart.
+  /// Delay between failing the readiness checks and closing connections in a
+  /// graceful shutdown: the load balancer removes a host after two failed
+  /// checks, one second apart.
   std::chrono::milliseconds m_stop_delay{2500};
 
-  /// Longest time for a planned stop.
+  /// Timeout of a graceful shutdown.
   std::chrono::milliseconds m_stop_timeout{5600};
 
-  /// Most connections of clients at once.
+  /// Limit on simultaneous client connections.
   uint32_t m_connection_limit = 3000;
 
   /// Retries for each hundred first attempts at a service.
@@ -146,11 +153,11 @@
   OwnershipSettings m_ownership;
 };
 
-/// Returns the processor time of this host, in cores. Throws
+/// Parses the processor time of this host, in cores. Throws
 /// `Error(kSettingInvalid)`.
 double ParseProcessorShare(const GatewaySettings& settings);
 
-/// The rows of all settings.
+/// Returns the descriptions of all settings.
 std::span<const SettingRow<GatewaySettings>> GatewaySettingRows();
 
 }  // namespace foxtail
--- a/src/gateway/gateway_traffic_thread.cc
+++ b/src/gateway/gateway_traffic_thread.cc
@@ -11,27 +11,27 @@
 
 using std::chrono::milliseconds;
 
-// Pause between two summaries of the traffic in the log.
+// Interval between traffic summaries in the log.
 constexpr std::chrono::seconds kSummaryPeriod{5};
 
-// The readiness check and the metrics have few callers.
-constexpr size_t kSideConnections = 16;
+// The readiness check and the metrics have few clients.
+constexpr size_t kMonitoringConnections = 16;
 
-HttpServerSettings SideSettings() {
+HttpServerSettings MonitoringServerSettings() {
   HttpServerSettings settings;
-  settings.m_connection_limit = kSideConnections;
+  settings.m_connection_limit = kMonitoringConnections;
   return settings;
 }
 
 }  // namespace
 
 GatewayTrafficThread::GatewayTrafficThread(const GatewaySettings& settings,
-                                           const FrontEnd& front,
+                                           const FrontEnd& front_end,
                                            EventLog& events)
     : m_settings(settings),
-      m_front_end(front),
+      m_front_end(front_end),
       m_events(events),
-      m_log(events) {}
+      m_request_log(events) {}
 
 GatewayTrafficThread::~GatewayTrafficThread() = default;
 
@@ -43,37 +43,38 @@
 void GatewayTrafficThread::Run() {
   InstallFiberScheduler();
   m_handler = std::make_unique<RequestHandler>(m_settings, m_front_end, *this,
-                                               m_log, m_metrics);
-  HttpServerSettings clients;
-  clients.m_connection_limit = m_settings.m_connection_limit;
+                                               m_request_log, m_metrics);
+  HttpServerSettings client_settings;
+  client_settings.m_connection_limit = m_settings.m_connection_limit;
   try {
-    Listen(clients);
+    OpenListeners(client_settings);
   } catch (const Error& failure) {
     m_events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
     std::quick_exit(EXIT_FAILURE);
   }
-  m_clients->Start();
-  m_ready->Start();
+  m_client_server->Start();
+  m_readiness_server->Start();
   m_metrics_server->Start();
-  m_handler->GetRates().SetWanted([this] {
-    m_report_urgent = true;
-    m_report_wanted.Notify();
+  m_handler->GetRateLimiter().SetOnTokensNeeded([this] {
+    m_report_pending = true;
+    m_report_triggered.Notify();
   });
   StartFiber([this] { ReportLoop(); });
   StartFiber([this] { SummaryLoop(); });
   m_mailbox.Loop();
 }
 
-void GatewayTrafficThread::Listen(const HttpServerSettings& clients) {
-  m_clients = std::make_unique<HttpServer>(
-      ParseAddress(m_settings.m_listen), clients,
+void GatewayTrafficThread::OpenListeners(
+    const HttpServerSettings& client_settings) {
+  m_client_server = std::make_unique<HttpServer>(
+      ParseAddress(m_settings.m_listen), client_settings,
       [this](HttpRequest& request) { return m_handler->Handle(request); });
-  m_ready = std::make_unique<HttpServer>(
-      ParseAddress(m_settings.m_ready), SideSettings(),
-      [this](HttpRequest&) { return Ready(); });
+  m_readiness_server = std::make_unique<HttpServer>(
+      ParseAddress(m_settings.m_ready), MonitoringServerSettings(),
+      [this](HttpRequest&) { return BuildReadinessResponse(); });
   m_metrics_server = std::make_unique<HttpServer>(
-      ParseAddress(m_settings.m_metrics), SideSettings(),
-      [this](HttpRequest&) { return MetricsText(); });
+      ParseAddress(m_settings.m_metrics), MonitoringServerSettings(),
+      [this](HttpRequest&) { return BuildMetricsResponse(); });
 }
 
 void GatewayTrafficThread::OnSnapshot(
@@ -97,26 +98,26 @@
   settings.m_body_limit = limits.m_body_limit;
   settings.m_read_timeout = limits.m_header_timeout;
   settings.m_idle_timeout = limits.m_idle_timeout;
-  m_clients->SetLimits(settings);
+  m_client_server->SetLimits(settings);
 }
 
 milliseconds GatewayTrafficThread::ConfigurationAge() const {
   return std::chrono::duration_cast<milliseconds>(BootClock::now() -
-                                                  m_operators_read_at);
+                                                  m_configuration_read_at);
 }
 
 bool GatewayTrafficThread::IsFresh() const {
   return ConfigurationAge() < m_settings.m_access_lifetime;
 }
 
-HttpResponse GatewayTrafficThread::Ready() const {
+HttpResponse GatewayTrafficThread::BuildReadinessResponse() const {
   HttpResponse response;
   const bool ready = !m_stopping && m_handler->HasConfiguration() && IsFresh();
   response.m_status = ready ? 200 : 503;
   return response;
 }
 
-HttpResponse GatewayTrafficThread::MetricsText() const {
+HttpResponse GatewayTrafficThread::BuildMetricsResponse() const {
   HttpResponse response;
   response.m_headers.Set("Content-Type", "text/plain; version=0.0.4");
   response.m_body = m_metrics.Text() + "foxtail_configuration_version " +
@@ -128,32 +129,33 @@
   return response;
 }
 
-void GatewayTrafficThread::OnFreshness(BootTime operators_read_at) {
-  m_mailbox.Post(
-      [this, operators_read_at] { m_operators_read_at = operators_read_at; });
+void GatewayTrafficThread::OnFreshness(BootTime configuration_read_at) {
+  m_mailbox.Post([this, configuration_read_at] {
+    m_configuration_read_at = configuration_read_at;
+  });
 }
 
-void GatewayTrafficThread::OnLeaderWord(LeaderWord word) {
-  m_mailbox.Post([this, word = std::move(word)] {
-    m_handler->GetRates().OnLeaderWord(word);
+void GatewayTrafficThread::OnLeaderWord(LeaderWord tokens) {
+  m_mailbox.Post([this, tokens = std::move(tokens)] {
+    m_handler->GetRateLimiter().OnLeaderWord(tokens);
   });
 }
 
-// Reports regularly, and sooner when requests wait for tokens.
+// Reports periodically, and sooner when requests wait for tokens.
 void GatewayTrafficThread::ReportLoop() {
   const OwnershipSettings& settings = m_settings.m_ownership;
-  TimePoint next_loads = Clock::now() + settings.m_load_report_period;
+  TimePoint next_load_report_at = Clock::now() + settings.m_load_report_period;
   while (!m_stopped) {
-    if (!std::exchange(m_report_urgent, false)) {
-      m_report_wanted.WaitUntil(Clock::now() + settings.m_report_period);
-      m_report_urgent = false;
+    if (!std::exchange(m_report_pending, false)) {
+      m_report_triggered.WaitUntil(Clock::now() + settings.m_report_period);
+      m_report_pending = false;
     }
     const TimePoint now = Clock::now();
-    const bool with_loads = now >= next_loads;
+    const bool with_loads = now >= next_load_report_at;
     if (with_loads) {
-      next_loads = now + settings.m_load_report_period;
+      next_load_report_at = now + settings.m_load_report_period;
     }
-    m_control->Report(m_handler->TakeReport(now, with_loads));
+    m_control->Report(m_handler->CollectReport(now, with_loads));
     boost::this_fiber::sleep_for(settings.m_min_report_interval);
   }
 }
@@ -162,8 +164,8 @@
   while (!m_stopped) {
     boost::this_fiber::sleep_for(kSummaryPeriod);
     m_handler->Expire(Clock::now());
-    m_log.Summarize(m_handler->CountInFlight(), ConfigurationAge(),
-                    m_handler->ConfigurationVersion());
+    m_request_log.LogSummary(m_handler->CountInFlight(), ConfigurationAge(),
+                             m_handler->ConfigurationVersion());
   }
 }
 
@@ -171,14 +173,15 @@
   return m_mailbox.Call([this] { return StopServers(); });
 }
 
-// The balancer looks away first; until then new connections are served.
+// The load balancer stops sending new connections only after its checks have
+// failed; until then new connections are served.
 bool GatewayTrafficThread::StopServers() {
-  const TimePoint until = Clock::now() + m_settings.m_stop_timeout;
+  const TimePoint deadline = Clock::now() + m_settings.m_stop_timeout;
   m_stopping = true;
-  m_clients->StartDraining();
+  m_client_server->StartDraining();
   boost::this_fiber::sleep_for(m_settings.m_stop_delay);
-  const bool clean = m_clients->Stop(until - Clock::now());
-  m_ready->Stop(Duration(0));
+  const bool clean = m_client_server->Stop(deadline - Clock::now());
+  m_readiness_server->Stop(Duration(0));
   m_metrics_server->Stop(Duration(0));
   m_stopped = true;
   return clean;
--- a/src/gateway/gateway_traffic_thread.h
+++ b/src/gateway/gateway_traffic_thread.h
@@ -11,36 +11,36 @@
 
 namespace foxtail {
 
-/// The traffic thread of a gateway: clients' connections, the readiness check
-/// and the metrics.
+/// The traffic thread of a gateway: serves clients' connections, the readiness
+/// check and the metrics.
 class GatewayTrafficThread : public ControlListener, public AccessFreshness {
  public:
   GatewayTrafficThread(const GatewaySettings& settings,
-                       const FrontEnd& front,
+                       const FrontEnd& front_end,
                        EventLog& events);
   ~GatewayTrafficThread() override;
 
-  /// Starts the thread. `control` takes its reports and must outlive it.
+  /// Starts the thread. `control` receives its reports and must outlive it.
   void Start(ControlThread& control);
 
-  /// A planned stop: readiness fails, open connections are answered, then
-  /// closed. Returns whether nothing was cut. The thread goes on until the
-  /// process ends.
+  /// Shuts down gracefully: readiness checks fail, requests on open connections
+  /// are completed, then the connections are closed. Returns false if a
+  /// connection had to be cut off. The thread runs until the process ends.
   bool Stop();
 
   void OnSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot) override;
-  void OnFreshness(BootTime operators_read_at) override;
-  void OnLeaderWord(LeaderWord word) override;
+  void OnFreshness(BootTime configuration_read_at) override;
+  void OnLeaderWord(LeaderWord tokens) override;
   bool IsFresh() const override;
 
  private:
   void Run();
-  void Listen(const HttpServerSettings& clients);
+  void OpenListeners(const HttpServerSettings& client_settings);
   bool StopServers();
   void ReportLoop();
   void SummaryLoop();
-  HttpResponse Ready() const;
-  HttpResponse MetricsText() const;
+  HttpResponse BuildReadinessResponse() const;
+  HttpResponse BuildMetricsResponse() const;
   std::chrono::milliseconds ConfigurationAge() const;
   void ApplyLimits();
 
@@ -49,16 +49,16 @@
   EventLog& m_events;
   ControlThread* m_control = nullptr;
   Metrics m_metrics;
-  RequestLog m_log;
+  RequestLog m_request_log;
   std::unique_ptr<RequestHandler> m_handler;
-  std::unique_ptr<HttpServer> m_clients;
-  std::unique_ptr<HttpServer> m_ready;
+  std::unique_ptr<HttpServer> m_client_server;
+  std::unique_ptr<HttpServer> m_readiness_server;
   std::unique_ptr<HttpServer> m_metrics_server;
   Mailbox m_mailbox;
-  FiberEvent m_report_wanted;
-  bool m_report_urgent = false;
+  FiberEvent m_report_triggered;
+  bool m_report_pending = false;
   uint64_t m_limits_version = 0;
-  BootTime m_operators_read_at;
+  BootTime m_configuration_read_at;
   bool m_stopping = false;
   bool m_stopped = false;
   std::thread m_thread;
--- a/src/gateway/rate_limiter.cc
+++ b/src/gateway/rate_limiter.cc
@@ -9,24 +9,24 @@
 
 using std::chrono::milliseconds;
 
-// Stock for the demand of this time, so that it lasts until the answer to the
-// report after the next.
-constexpr milliseconds kHorizon{600};
+// The stock covers the demand of this time, so that it lasts until the response
+// to the report after the next.
+constexpr milliseconds kDemandHorizon{600};
 
-// For this long after the leader had too few tokens, requests are refused
-// without asking again: a workspace far over its rate must not cost a wait and
-// a message for each request.
-constexpr milliseconds kDenialLife{250};
+// For this long after the leader issued fewer tokens than requested, requests
+// are refused without a new demand: a workspace far above its rate must not
+// cost a wait and a message for each request.
+constexpr milliseconds kDenialTtl{250};
 
-// A request waits this long for the leader's word: some round trips between
-// data centres, and well within what a client notices.
-constexpr milliseconds kTokenWait{60};
+// Longest wait of a request for the leader's tokens: a few round trips between
+// data centres, and too short for a client to notice.
+constexpr milliseconds kTokenTimeout{60};
 
 }  // namespace
 
 RateLimiter::RateLimiter(const OwnershipSettings& settings)
     : m_settings(settings),
-      m_budget(std::make_unique<WholeDemandShare>(kHorizon)) {}
+      m_budget(std::make_unique<WholeDemandShare>(kDemandHorizon)) {}
 
 void RateLimiter::Acquire(const RoutedWorkspace& workspace,
                           size_t members,
@@ -40,31 +40,31 @@
   if (m_budget.TryTake(name, start)) {
     return;
   }
-  if (m_budget.WasDenied(name, start - kDenialLife)) {
+  if (m_budget.WasDenied(name, start - kDenialTtl)) {
     throw Error(ErrorCode::kRateExceeded, name);
   }
-  bool taken = false;
-  const bool heard =
-      start - m_leader_heard < m_settings.m_contact_silence_timeout;
-  const TimePoint until = std::min(deadline, start + kTokenWait);
+  bool acquired = false;
+  const bool leader_reachable =
+      start - m_leader_last_heard_at < m_settings.m_contact_silence_timeout;
+  const TimePoint wait_until = std::min(deadline, start + kTokenTimeout);
   m_budget.AddWaiting(name);
-  while (heard && !taken && Clock::now() < until &&
+  while (leader_reachable && !acquired && Clock::now() < wait_until &&
          !m_budget.WasDenied(name, start)) {
-    m_wanted();
-    m_granted.WaitUntil(until);
-    taken = m_budget.TryTake(name, Clock::now());
+    m_on_tokens_needed();
+    m_tokens_received.WaitUntil(wait_until);
+    acquired = m_budget.TryTake(name, Clock::now());
   }
   m_budget.RemoveWaiting(name);
-  if (taken) {
+  if (acquired) {
     return;
   }
   const bool denied = m_budget.WasDenied(name, start);
-  if (denied || !m_even.TryTake(workspace, members, Clock::now())) {
+  if (denied || !m_equal_share.TryAcquire(workspace, members, Clock::now())) {
     throw Error(ErrorCode::kRateExceeded, name);
   }
 }
 
-void RateLimiter::GiveBack(const std::string& workspace) {
+void RateLimiter::ReturnToken(const std::string& workspace) {
   m_budget.GiveBack(workspace, Clock::now() + m_settings.m_token_ttl);
 }
 
@@ -72,10 +72,10 @@
   return m_budget.BuildDemands(now);
 }
 
-void RateLimiter::OnLeaderWord(const LeaderWord& word) {
-  m_leader_heard = Clock::now();
-  m_budget.OnGrants(word.m_tokens, word.m_report_sent);
-  m_granted.Notify();
+void RateLimiter::OnLeaderWord(const LeaderWord& leader_tokens) {
+  m_leader_last_heard_at = Clock::now();
+  m_budget.OnGrants(leader_tokens.m_tokens, leader_tokens.m_report_sent);
+  m_tokens_received.Notify();
 }
 
 }  // namespace foxtail
--- a/src/gateway/rate_limiter.h
+++ b/src/gateway/rate_limiter.h
@@ -10,37 +10,40 @@
 
 namespace foxtail {
 
-/// Admits requests within their workspaces' rates: with tokens of the leader,
-/// or, while the leader is not heard, with an even part of the rate.
+/// Admits requests within their workspaces' rates. Uses tokens that the leader
+/// issues; while the leader is unreachable, uses an equal share of the rate.
 class RateLimiter {
  public:
   explicit RateLimiter(const OwnershipSettings& settings);
 
-  /// Sets what is called when a request waits for tokens.
-  void SetWanted(std::function<void()> wanted) { m_wanted = std::move(wanted); }
+  /// Sets the callback that runs when a request waits for tokens.
+  void SetOnTokensNeeded(std::function<void()> on_tokens_needed) {
+    m_on_tokens_needed = std::move(on_tokens_needed);
+  }
 
-  /// Takes a token; waits on the calling fiber for the leader's word. Throws
-  /// `Error(kRateExceeded)`.
+  /// Acquires a token for a request. May block the calling fiber until the
+  /// leader responds. `members` is the number of gateways that share the rate.
+  /// Throws `Error(kRateExceeded)`.
   void Acquire(const RoutedWorkspace& workspace,
                size_t members,
                TimePoint deadline);
 
-  /// Gives back the token of a request that did not run.
-  void GiveBack(const std::string& workspace);
+  /// Returns the token of a request that did not run.
+  void ReturnToken(const std::string& workspace);
 
-  /// Builds the demands of the next report.
+  /// Builds the token demands of the next report to the leader.
   std::vector<TokenDemand> BuildDemands(TimePoint now);
 
-  /// The leader answered a report.
-  void OnLeaderWord(const LeaderWord& word);
+  /// Adds the tokens that the leader issued in response to a report.
+  void OnLeaderWord(const LeaderWord& leader_tokens);
 
  private:
   const OwnershipSettings& m_settings;
   TokenBudget m_budget;
-  EqualShareLimiter m_even;
-  FiberEvent m_granted;
-  TimePoint m_leader_heard;
-  std::function<void()> m_wanted;
+  EqualShareLimiter m_equal_share;
+  FiberEvent m_tokens_received;
+  TimePoint m_leader_last_heard_at;
+  std::function<void()> m_on_tokens_needed;
 };
 
 }  // namespace foxtail
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -10,43 +10,45 @@
 
 using std::chrono::milliseconds;
 
-// A backend server's idle connections are closed after some seconds at its end;
-// giving them up earlier keeps requests off connections that are about to go.
+// Backend servers close idle connections after some seconds. The shorter limit
+// here keeps requests off connections that are about to close.
 constexpr HttpClientSettings kClientSettings{
     .m_pool_limit = 16,
     .m_idle_limit = std::chrono::seconds(6),
     .m_connect_timeout = milliseconds(300)};
 
-// What an answer may take beyond the deadline that the server was told.
-constexpr milliseconds kAnswerMargin{15};
+// How long after the deadline that the server received a response is still
+// accepted.
+constexpr milliseconds kResponseMargin{15};
 
-// A request for a key without an owner waits at most this long: a planned move
-// takes less, and an unplanned one seconds.
-constexpr milliseconds kOwnerWait{700};
+// Longest wait of a request for a key without an owner: a planned move takes
+// less, an unplanned one seconds.
+constexpr milliseconds kOwnerTimeout{700};
 
-// When a client is told to come back, by what stood in its way.
+// Retry delays sent to clients, by the cause of the error.
 constexpr milliseconds kOwnerRetryAfter{300};
 constexpr milliseconds kRateRetryAfter{500};
 constexpr milliseconds kSaturatedRetryAfter{150};
-constexpr milliseconds kUnknownRetryAfter{500};
+constexpr milliseconds kConfigurationRetryAfter{500};
 
-// A deadline for requests that name none.
+// Deadline of requests that do not specify one.
 constexpr std::chrono::seconds kDefaultDeadline{60};
 
-// Requests with less time left than this are not sent: no server answers so
-// soon.
-constexpr milliseconds kShortestAttempt{8};
+// Requests with less time left are not sent, because no server responds so
+// quickly.
+constexpr milliseconds kMinAttemptTime{8};
 
-// Retries that a service's budget can save up on this host. Small, because all
-// hosts save up and the bound holds for their sum.
-constexpr double kRetryReserve = 3;
+// Limit on the retries that a service's budget accumulates on this host. The
+// limit is small because every host accumulates its own budget and the overall
+// limit applies to their sum.
+constexpr double kMaxSavedRetries = 3;
 
-// Pause before a request is sent again to a server that refused it.
-constexpr milliseconds kRefusalPause{40};
+// Delay before a retry at the same server after a refusal.
+constexpr milliseconds kRefusalRetryDelay{40};
 
 struct RetryAfterRow {
   ErrorCode m_code;
-  milliseconds m_after;
+  milliseconds m_delay;
 };
 
 constexpr std::array kRetryAfter = {
@@ -55,37 +57,38 @@
     RetryAfterRow{ErrorCode::kServerSaturated, kSaturatedRetryAfter},
     RetryAfterRow{ErrorCode::kServerRefused, kSaturatedRetryAfter},
     RetryAfterRow{ErrorCode::kServerQueueFull, kSaturatedRetryAfter},
-    RetryAfterRow{ErrorCode::kConfigurationUnknown, kUnknownRetryAfter},
-    RetryAfterRow{ErrorCode::kAccessStale, kUnknownRetryAfter},
+    RetryAfterRow{ErrorCode::kConfigurationUnknown, kConfigurationRetryAfter},
+    RetryAfterRow{ErrorCode::kAccessStale, kConfigurationRetryAfter},
 };
 
 }  // namespace
 
-/// What is known and decided about one request.
-struct RequestHandler::Call {
+/// State of one request while it is handled.
+struct RequestHandler::RequestContext {
   ClientRequest m_request;
   std::shared_ptr<Cancellation> m_cancellation;
-  TimePoint m_started;
+  TimePoint m_started_at;
   TimePoint m_deadline;
   std::shared_ptr<const RoutingSnapshot> m_snapshot;
 
-  /// Configuration that admitted the request; its rows are referred to below.
+  /// Configuration that admitted the request. Keeps alive the route and the
+  /// workspace that the pointers below refer to.
   std::shared_ptr<const RouteIndex> m_routes;
   const RouteRow* m_route = nullptr;
   const RoutedWorkspace* m_workspace = nullptr;
   std::string m_service;
   bool m_sharded = false;
-  uint32_t m_rank = 0;
+  uint32_t m_priority = 0;
   uint32_t m_attempts = 0;
 
-  /// An attempt may have run.
+  /// Whether a server may have run the request.
   bool m_maybe_ran = false;
-  std::set<std::string> m_tried;
+  std::set<std::string> m_tried_servers;
 
-  /// Servers whose slots the request was sent to, for logs.
+  /// Backend server of the last attempt, for logs.
   std::string m_last_server;
 
-  bool HasLeft() const {
+  bool ClientDisconnected() const {
     return m_cancellation && m_cancellation->IsCancelled();
   }
   std::string WorkspaceName() const {
@@ -93,38 +96,40 @@
   }
 };
 
-/// How an attempt ended.
-enum class RequestHandler::Verdict {
-  /// The response is the server's answer.
-  kAnswered,
-  /// The server ran the request and failed it.
-  kFailed,
-  /// No byte was sent, or the server says that it did not run the request.
+/// Outcome of one attempt.
+enum class RequestHandler::AttemptOutcome {
+  /// The server responded with a status below 500.
+  kResponded,
+  /// The server responded with a status of 500 or above.
+  kServerError,
+  /// No byte was sent.
   kNotSent,
+  /// The server reported that it did not run the request.
   kRefused,
+  /// The server reported that another server must run the request.
   kMisdirected,
   /// It is unknown whether the request ran.
-  kLost,
+  kOutcomeUnknown,
 };
 
 RequestHandler::RequestHandler(const GatewaySettings& settings,
-                               const FrontEnd& front,
+                               const FrontEnd& front_end,
                                const AccessFreshness& freshness,
                                RequestLog& log,
                                Metrics& metrics)
     : m_settings(settings),
-      m_front_end(front),
+      m_front_end(front_end),
       m_freshness(freshness),
-      m_log(log),
+      m_request_log(log),
       m_metrics(metrics),
       m_client(kClientSettings),
-      m_rates(settings.m_ownership) {}
+      m_rate_limiter(settings.m_ownership) {}
 
 void RequestHandler::OnSnapshot(
     std::shared_ptr<const RoutingSnapshot> snapshot) {
   m_snapshot = std::move(snapshot);
-  m_changed.Notify();
-  for (auto& [ticket, event] : m_waiting) {
+  m_snapshot_changed.Notify();
+  for (auto& [ticket, event] : m_queued_events) {
     event->Notify();
   }
 }
@@ -134,357 +139,384 @@
 }
 
 HttpResponse RequestHandler::Handle(HttpRequest& request) {
-  Call call;
-  call.m_started = Clock::now();
-  call.m_cancellation = request.m_cancellation;
-  m_log.CountRequest();
+  RequestContext context;
+  context.m_started_at = Clock::now();
+  context.m_cancellation = request.m_cancellation;
+  m_request_log.CountRequest();
   try {
-    HttpResponse response = Run(request, call);
-    m_log.CountServed();
-    m_metrics.Observe("foxtail_request_seconds", "service", call.m_service,
-                      Clock::now() - call.m_started);
+    HttpResponse response = Process(request, context);
+    m_request_log.CountServed();
+    m_metrics.Observe("foxtail_request_seconds", "service", context.m_service,
+                      Clock::now() - context.m_started_at);
     return response;
   } catch (const Error& error) {
-    Note(call, error);
-    Duration after{};
+    LogFailure(context, error);
+    Duration retry_after{};
     for (const RetryAfterRow& row : kRetryAfter) {
       if (row.m_code == error.GetCode()) {
-        after = row.m_after;
+        retry_after = row.m_delay;
       }
     }
-    // Clients wait at most a third of the time that they have left.
-    const Duration left = call.m_deadline - Clock::now();
-    return m_front_end.BuildErrorResponse(error, std::min(after, left / 3));
+    // The retry delay is at most a third of the time that the client has left.
+    const Duration left = context.m_deadline - Clock::now();
+    return m_front_end.BuildErrorResponse(error,
+                                          std::min(retry_after, left / 3));
   }
 }
 
-void RequestHandler::Note(const Call& call, const Error& error) {
+void RequestHandler::LogFailure(const RequestContext& context,
+                                const Error& error) {
   m_metrics.Count("foxtail_errors_total", "error",
                   std::string(InfoOf(error.GetCode()).m_name));
-  const auto age =
-      std::chrono::duration_cast<milliseconds>(Clock::now() - call.m_started);
-  m_log.Failed(
-      {call.m_request.m_request_id, call.WorkspaceName(), call.m_service,
-       call.m_last_server, call.m_attempts, age, ConfigurationVersion()},
+  const auto age = std::chrono::duration_cast<milliseconds>(
+      Clock::now() - context.m_started_at);
+  m_request_log.LogFailure(
+      {context.m_request.m_request_id, context.WorkspaceName(),
+       context.m_service, context.m_last_server, context.m_attempts, age,
+       ConfigurationVersion()},
       error);
 }
 
-HttpResponse RequestHandler::Run(HttpRequest& request, Call& call) {
-  call.m_request = m_front_end.Decode(request);
-  call.m_deadline =
-      call.m_started + call.m_request.m_deadline.value_or(kDefaultDeadline);
-  Resolve(call);
-  Authorize(call);
-  Admit(call);
-  CountLoad(call);
-  BudgetOf(call.m_service).OnRequest();
+HttpResponse RequestHandler::Process(HttpRequest& request,
+                                     RequestContext& context) {
+  context.m_request = m_front_end.Decode(request);
+  context.m_deadline = context.m_started_at +
+                       context.m_request.m_deadline.value_or(kDefaultDeadline);
+  Resolve(context);
+  Authorize(context);
+  Admit(context);
+  CountSliceLoad(context);
+  GetRetryBudget(context.m_service).OnRequest();
   try {
-    return Attempts(request, call);
+    return SendWithRetries(request, context);
   } catch (const Error&) {
-    if (call.m_workspace && !call.m_maybe_ran) {
-      m_rates.GiveBack(call.m_workspace->m_name);
+    if (context.m_workspace && !context.m_maybe_ran) {
+      m_rate_limiter.ReturnToken(context.m_workspace->m_name);
     }
     throw;
   }
 }
 
-void RequestHandler::Resolve(Call& call) {
+void RequestHandler::Resolve(RequestContext& context) {
   if (!HasConfiguration()) {
     throw Error(ErrorCode::kConfigurationUnknown);
   }
-  call.m_snapshot = m_snapshot;
-  call.m_routes = call.m_snapshot->m_routes;
-  call.m_route =
-      &call.m_routes->Match(call.m_request.m_host, call.m_request.m_path);
-  call.m_deadline =
-      std::min(call.m_deadline, call.m_started + call.m_route->m_timeout);
-  call.m_rank = call.m_route->m_priority;
+  context.m_snapshot = m_snapshot;
+  context.m_routes = context.m_snapshot->m_routes;
+  context.m_route = &context.m_routes->Match(context.m_request.m_host,
+                                             context.m_request.m_path);
+  context.m_deadline = std::min(
+      context.m_deadline, context.m_started_at + context.m_route->m_timeout);
+  context.m_priority = context.m_route->m_priority;
 }
 
-void RequestHandler::Authorize(Call& call) {
-  const RouteIndex& routes = *call.m_routes;
-  if (call.m_route->m_public || routes.GetConfig().m_workspaces.empty()) {
+void RequestHandler::Authorize(RequestContext& context) {
+  const RouteIndex& routes = *context.m_routes;
+  if (context.m_route->m_public || routes.GetConfig().m_workspaces.empty()) {
     return;
   }
   if (!m_freshness.IsFresh()) {
     throw Error(ErrorCode::kAccessStale);
   }
-  call.m_workspace = &routes.Authenticate(call.m_request.m_api_key);
-  if (call.m_workspace->m_has_priority) {
-    call.m_rank = call.m_workspace->m_priority;
+  context.m_workspace = &routes.Authenticate(context.m_request.m_api_key);
+  if (context.m_workspace->m_has_priority) {
+    context.m_priority = context.m_workspace->m_priority;
   }
 }
 
-void RequestHandler::Admit(Call& call) {
-  if (call.m_workspace) {
-    m_rates.Acquire(*call.m_workspace, call.m_snapshot->m_members,
-                    call.m_deadline);
-  }
-  call.m_service = m_parts.Choose(*call.m_route);
-  const RoutedService* service = call.m_routes->FindService(call.m_service);
-  call.m_sharded =
-      service && service->m_sharded && call.m_request.m_shard_key.has_value();
+void RequestHandler::Admit(RequestContext& context) {
+  if (context.m_workspace) {
+    m_rate_limiter.Acquire(*context.m_workspace,
+                           context.m_snapshot->m_member_count,
+                           context.m_deadline);
+  }
+  context.m_service = m_splitter.Choose(*context.m_route);
+  const RoutedService* service =
+      context.m_routes->FindService(context.m_service);
+  context.m_sharded = service && service->m_sharded &&
+                      context.m_request.m_shard_key.has_value();
 }
 
-void RequestHandler::CountLoad(const Call& call) {
-  if (call.m_sharded) {
-    const uint32_t slice = *call.m_request.m_shard_key / kKeysPerSlice;
-    ++m_slice_counts[call.m_service][static_cast<uint16_t>(slice)];
+void RequestHandler::CountSliceLoad(const RequestContext& context) {
+  if (context.m_sharded) {
+    const uint32_t slice = *context.m_request.m_shard_key / kKeysPerSlice;
+    ++m_slice_counts[context.m_service][static_cast<uint16_t>(slice)];
   }
 }
 
-HttpResponse RequestHandler::Attempts(const HttpRequest& request, Call& call) {
+HttpResponse RequestHandler::SendWithRetries(const HttpRequest& request,
+                                             RequestContext& context) {
   while (true) {
-    AwaitTarget(call);
-    const RoutedServer* server = FindTarget(call);
-    if (!server || !AwaitTurn(call, *server)) {
+    WaitForTarget(context);
+    const RoutedServer* server = FindTarget(context);
+    if (!server || !WaitForTurn(context, *server)) {
       continue;  // the server has changed meanwhile
     }
     HttpResponse response;
-    const Verdict verdict = Attempt(request, call, *server, response);
-    if (verdict == Verdict::kAnswered) {
+    const AttemptOutcome outcome =
+        SendOnce(request, context, *server, response);
+    if (outcome == AttemptOutcome::kResponded) {
       return m_front_end.BuildClientResponse(std::move(response));
     }
-    if (call.HasLeft()) {
+    if (context.ClientDisconnected()) {
       throw Error(ErrorCode::kClientLeft);
     }
-    if (MayRetry(call, verdict)) {
+    if (CanRetry(context, outcome)) {
       continue;
     }
-    switch (verdict) {
-      case Verdict::kFailed:
+    switch (outcome) {
+      case AttemptOutcome::kServerError:
         return m_front_end.BuildClientResponse(std::move(response));
-      case Verdict::kLost:
-        ThrowFailure(call, ErrorCode::kServerLost, ErrorCode::kServerLost);
+      case AttemptOutcome::kOutcomeUnknown:
+        ThrowFailure(context, ErrorCode::kServerLost, ErrorCode::kServerLost);
         break;
       default:
-        ThrowFailure(call, ErrorCode::kServerRefused, ErrorCode::kServerLost);
+        ThrowFailure(context, ErrorCode::kServerRefused,
+                     ErrorCode::kServerLost);
     }
   }
 }
 
-// Waits until there is a server that the request may go to.
-void RequestHandler::AwaitTarget(Call& call) {
-  const TimePoint until = std::min(call.m_deadline, Clock::now() + kOwnerWait);
+// Waits until there is a server that the request can be sent to.
+void RequestHandler::WaitForTarget(RequestContext& context) {
+  const TimePoint wait_until =
+      std::min(context.m_deadline, Clock::now() + kOwnerTimeout);
   while (true) {
-    if (call.HasLeft()) {
+    if (context.ClientDisconnected()) {
       throw Error(ErrorCode::kClientLeft);
     }
-    call.m_snapshot = m_snapshot;
-    if (FindTarget(call)) {
+    context.m_snapshot = m_snapshot;
+    if (FindTarget(context)) {
       return;
     }
-    if (Clock::now() >= until) {
-      ThrowFailure(call, ErrorCode::kPartitionNotServed,
+    if (Clock::now() >= wait_until) {
+      ThrowFailure(context, ErrorCode::kPartitionNotServed,
                    ErrorCode::kServerLost);
     }
-    m_changed.WaitUntil(until);
+    m_snapshot_changed.WaitUntil(wait_until);
   }
 }
 
-const RoutedServer* RequestHandler::FindTarget(Call& call) {
-  const ServiceEndpoints* places =
-      call.m_snapshot->FindEndpoints(call.m_service);
-  if (!places) {
+const RoutedServer* RequestHandler::FindTarget(RequestContext& context) {
+  const ServiceEndpoints* endpoints =
+      context.m_snapshot->FindEndpoints(context.m_service);
+  if (!endpoints) {
     return nullptr;
   }
-  if (call.m_sharded) {
-    return FindOwner(call);
+  if (context.m_sharded) {
+    return FindOwner(context);
   }
   const TimePoint now = Clock::now();
-  const RoutedServer* server = ChooseServer(*places, m_settings.m_data_centre,
-                                            call.m_tried, m_system, now);
-  if (!server && !call.m_tried.empty()) {
-    call.m_tried.clear();
-    server = ChooseServer(*places, m_settings.m_data_centre, call.m_tried,
-                          m_system, now);
+  const RoutedServer* server =
+      ChooseServer(*endpoints, m_settings.m_data_centre,
+                   context.m_tried_servers, m_send_system, now);
+  if (!server && !context.m_tried_servers.empty()) {
+    context.m_tried_servers.clear();
+    server = ChooseServer(*endpoints, m_settings.m_data_centre,
+                          context.m_tried_servers, m_send_system, now);
   }
   return server;
 }
 
-const RoutedServer* RequestHandler::FindOwner(Call& call) {
-  const ServiceEndpoints* places =
-      call.m_snapshot->FindEndpoints(call.m_service);
-  const RoutedRange* range = places->FindRange(*call.m_request.m_shard_key);
+const RoutedServer* RequestHandler::FindOwner(RequestContext& context) {
+  const ServiceEndpoints* endpoints =
+      context.m_snapshot->FindEndpoints(context.m_service);
+  const RoutedRange* range =
+      endpoints->FindRange(*context.m_request.m_shard_key);
   if (!range || !range->m_grant_confirmed) {
     return nullptr;
   }
-  const auto server = places->m_servers.find(range->m_server);
-  if (server == places->m_servers.end() ||
+  const auto server = endpoints->m_servers.find(range->m_server);
+  if (server == endpoints->m_servers.end() ||
       Clock::now() >= server->second.m_send_until) {
     return nullptr;
   }
   return &server->second;
 }
 
-// Waits for the request's turn at a server. Returns false when the request
-// should look for its server again. A request that cannot be served in time is
-// refused at once; one that was overtaken, as soon as that is known.
-bool RequestHandler::AwaitTurn(Call& call, const RoutedServer& server) {
-  const SendServerId id = m_system.RowOf(server, Clock::now());
-  const Duration estimated = std::max<Duration>(
-      m_system.EstimatedTime(id, server, call.m_rank, Clock::now()),
-      kShortestAttempt);
-  if (!m_system.HasRoom(id) || Clock::now() + estimated >= call.m_deadline) {
-    ThrowFailure(call, ErrorCode::kServerSaturated,
+// Queues the request at a server and waits until it may be sent. Returns false
+// if the snapshot changed and the target must be looked up again. A request
+// that cannot be served in time is refused at once; one that requests of higher
+// priority delay too long, as soon as it can no longer be sent in time.
+bool RequestHandler::WaitForTurn(RequestContext& context,
+                                 const RoutedServer& server) {
+  const SendServerId id = m_send_system.GetOrInsert(server, Clock::now());
+  const Duration estimated =
+      std::max<Duration>(m_send_system.EstimateTotalTime(
+                             id, server, context.m_priority, Clock::now()),
+                         kMinAttemptTime);
+  if (!m_send_system.HasQueueSpace(id) ||
+      Clock::now() + estimated >= context.m_deadline) {
+    ThrowFailure(context, ErrorCode::kServerSaturated,
                  ErrorCode::kDeadlineExceeded);
   }
-  const WaitingOrder order{call.m_rank, ++m_next_ticket};
+  const QueueKey key{context.m_priority, ++m_last_ticket};
   FiberEvent event;
-  m_system.StartWaiting(id, order);
-  m_waiting[order.m_ticket] = &event;
-  const CancellationScope scope(call.m_cancellation,
+  m_send_system.Enqueue(id, key);
+  m_queued_events[key.m_ticket] = &event;
+  const CancellationScope scope(context.m_cancellation,
                                 [&event] { event.Notify(); });
-  const TimePoint give_up_at =
-      call.m_deadline -
-      std::max<Duration>(m_system.EstimatedService(id), kShortestAttempt);
-  bool turn = false;
-  while (!turn && !call.HasLeft() && call.m_snapshot == m_snapshot &&
-         Clock::now() < give_up_at) {
+  const TimePoint latest_send_at =
+      context.m_deadline -
+      std::max<Duration>(m_send_system.EstimateServiceTime(id),
+                         kMinAttemptTime);
+  bool can_send = false;
+  while (!can_send && !context.ClientDisconnected() &&
+         context.m_snapshot == m_snapshot && Clock::now() < latest_send_at) {
     TimePoint retry_at;
-    turn = m_system.MaySend(id, server, order, Clock::now(), retry_at);
-    if (!turn) {
-      event.WaitUntil(std::min(retry_at, give_up_at));
+    can_send = m_send_system.CanSend(id, server, key, Clock::now(), retry_at);
+    if (!can_send) {
+      event.WaitUntil(std::min(retry_at, latest_send_at));
     }
   }
-  m_system.StopWaiting(id, order);
-  m_waiting.erase(order.m_ticket);
-  if (!turn) {
-    WakeNext(id);
+  m_send_system.Dequeue(id, key);
+  m_queued_events.erase(key.m_ticket);
+  if (!can_send) {
+    WakeQueueHead(id);
   }
-  if (call.HasLeft()) {
+  if (context.ClientDisconnected()) {
     throw Error(ErrorCode::kClientLeft);
   }
-  if (!turn && Clock::now() >= give_up_at) {
-    ThrowFailure(call, ErrorCode::kServerSaturated,
+  if (!can_send && Clock::now() >= latest_send_at) {
+    ThrowFailure(context, ErrorCode::kServerSaturated,
                  ErrorCode::kDeadlineExceeded);
   }
-  return turn;
+  return can_send;
 }
 
-// Only the first in order can be sent, so only it is woken.
-void RequestHandler::WakeNext(SendServerId id) {
-  if (const auto first = m_system.FirstWaiting(id)) {
-    m_waiting.at(first->m_ticket)->Notify();
+// Only the head of the queue can be sent, so no other request is woken.
+void RequestHandler::WakeQueueHead(SendServerId id) {
+  if (const auto first = m_send_system.GetQueueHead(id)) {
+    m_queued_events.at(first->m_ticket)->Notify();
   }
 }
 
-RequestHandler::Verdict RequestHandler::Attempt(const HttpRequest& request,
-                                                Call& call,
-                                                const RoutedServer& server,
-                                                HttpResponse& response) {
-  const TimePoint started = Clock::now();
-  const SendServerId id = m_system.RowOf(server, started);
-  const RoutedService* service = call.m_routes->FindService(call.m_service);
-  const Duration cold_pause =
-      ColdPause(service ? service->m_cold_rate : 0, call.m_snapshot->m_members);
-  m_system.OnSent(id, server, cold_pause, started);
-  WakeNext(id);
-  ++call.m_attempts;
-  call.m_last_server = server.m_id;
-  call.m_tried.insert(server.m_id);
+RequestHandler::AttemptOutcome RequestHandler::SendOnce(
+    const HttpRequest& request,
+    RequestContext& context,
+    const RoutedServer& server,
+    HttpResponse& response) {
+  const TimePoint started_at = Clock::now();
+  const SendServerId id = m_send_system.GetOrInsert(server, started_at);
+  const RoutedService* service =
+      context.m_routes->FindService(context.m_service);
+  const Duration cold_send_interval = ColdSendInterval(
+      service ? service->m_cold_rate : 0, context.m_snapshot->m_member_count);
+  m_send_system.OnSent(id, server, cold_send_interval, started_at);
+  WakeQueueHead(id);
+  ++context.m_attempts;
+  context.m_last_server = server.m_id;
+  context.m_tried_servers.insert(server.m_id);
   HttpRequest forwarded = m_front_end.BuildServerRequest(
-      request, {server.m_id, call.WorkspaceName(), call.m_deadline - started});
-  ServerResponse answer;
+      request,
+      {server.m_id, context.WorkspaceName(), context.m_deadline - started_at});
+  ServerResponse server_response;
   ExchangeOptions options;
   options.m_belongs = [&](const HttpResponse& received) {
-    answer = m_front_end.Classify(call.m_request, received);
-    return answer.m_kind != ResponseKind::kInvalid;
+    server_response = m_front_end.Classify(context.m_request, received);
+    return server_response.m_kind != ResponseKind::kInvalid;
   };
-  options.m_new_connection = call.m_attempts > 1;
-  ExchangeResult result = m_client.Exchange(
-      server.m_address, forwarded, call.m_deadline + kAnswerMargin, options);
-  const Verdict verdict =
-      JudgeExchange(call, server, started, result, answer, response);
-  WakeNext(id);
-  return verdict;
+  options.m_new_connection = context.m_attempts > 1;
+  ExchangeResult result =
+      m_client.Exchange(server.m_address, forwarded,
+                        context.m_deadline + kResponseMargin, options);
+  const AttemptOutcome outcome = ClassifyExchange(
+      context, server, started_at, result, server_response, response);
+  WakeQueueHead(id);
+  return outcome;
 }
 
-RequestHandler::Verdict RequestHandler::JudgeExchange(
-    Call& call,
+RequestHandler::AttemptOutcome RequestHandler::ClassifyExchange(
+    RequestContext& context,
     const RoutedServer& server,
-    TimePoint started,
+    TimePoint started_at,
     ExchangeResult& result,
-    const ServerResponse& answer,
+    const ServerResponse& server_response,
     HttpResponse& response) {
   const TimePoint now = Clock::now();
-  const SendServerId id = m_system.RowOf(server, now);
-  const Duration latency = now - started;
+  const SendServerId id = m_send_system.GetOrInsert(server, now);
+  const Duration latency = now - started_at;
   if (!result.m_ok) {
-    m_system.OnEnded(id, std::nullopt, false, latency, now);
+    m_send_system.OnCompleted(id, std::nullopt, false, latency, now);
     if (result.m_progress == ExchangeProgress::kNothingSent) {
-      if (!call.HasLeft()) {
-        m_system.OnUnreachable(id, now);
+      if (!context.ClientDisconnected()) {
+        m_send_system.OnUnreachable(id, now);
       }
-      return Verdict::kNotSent;
+      return AttemptOutcome::kNotSent;
     }
-    call.m_maybe_ran = true;
-    return Verdict::kLost;
+    context.m_maybe_ran = true;
+    return AttemptOutcome::kOutcomeUnknown;
   }
-  m_system.OnEnded(id, answer.m_load, answer.m_kind == ResponseKind::kComplete,
-                   latency, now);
-  switch (answer.m_kind) {
+  m_send_system.OnCompleted(id, server_response.m_load,
+                            server_response.m_kind == ResponseKind::kComplete,
+                            latency, now);
+  switch (server_response.m_kind) {
     case ResponseKind::kComplete:
       response = std::move(result.m_response);
-      // A failure at the server is worth a second try if that does no harm.
-      return response.m_status >= 500 ? Verdict::kFailed : Verdict::kAnswered;
+      // A server error is retried if the request is idempotent.
+      return response.m_status >= 500 ? AttemptOutcome::kServerError
+                                      : AttemptOutcome::kResponded;
     case ResponseKind::kNotRun:
-      m_system.OnRefused(id);
-      return Verdict::kRefused;
+      m_send_system.OnRefused(id);
+      return AttemptOutcome::kRefused;
     case ResponseKind::kMisdirected:
-      return Verdict::kMisdirected;
+      return AttemptOutcome::kMisdirected;
     case ResponseKind::kInvalid:
       break;
   }
-  call.m_maybe_ran = true;
-  return Verdict::kLost;
+  context.m_maybe_ran = true;
+  return AttemptOutcome::kOutcomeUnknown;
 }
 
-// Sent again is only what did not run, or what may run more than once.
-bool RequestHandler::MayRetry(Call& call, Verdict verdict) {
-  const bool ran = verdict == Verdict::kLost || verdict == Verdict::kFailed;
-  if ((ran && !call.m_route->m_idempotent) ||
-      call.m_attempts >= call.m_route->m_max_attempts ||
-      Clock::now() + kShortestAttempt >= call.m_deadline) {
+// Retries only requests that did not run or that are idempotent.
+bool RequestHandler::CanRetry(RequestContext& context, AttemptOutcome outcome) {
+  const bool ran = outcome == AttemptOutcome::kOutcomeUnknown ||
+                   outcome == AttemptOutcome::kServerError;
+  if ((ran && !context.m_route->m_idempotent) ||
+      context.m_attempts >= context.m_route->m_max_attempts ||
+      Clock::now() + kMinAttemptTime >= context.m_deadline) {
     return false;
   }
-  if (verdict != Verdict::kNotSent && !BudgetOf(call.m_service).TryRetry()) {
+  if (outcome != AttemptOutcome::kNotSent &&
+      !GetRetryBudget(context.m_service).TryRetry()) {
     return false;
   }
-  m_log.Retried(
-      {call.m_request.m_request_id, call.WorkspaceName(), call.m_service,
-       call.m_last_server, call.m_attempts,
-       std::chrono::duration_cast<milliseconds>(Clock::now() - call.m_started),
+  m_request_log.LogRetry(
+      {context.m_request.m_request_id, context.WorkspaceName(),
+       context.m_service, context.m_last_server, context.m_attempts,
+       std::chrono::duration_cast<milliseconds>(Clock::now() -
+                                                context.m_started_at),
        ConfigurationVersion()},
-      verdict == Verdict::kLost ? "lost" : "not_run");
-  if (call.m_sharded && verdict != Verdict::kLost) {
-    // The owner is the only server that can run it: give it, or the news of
-    // its move, a moment.
-    m_changed.WaitUntil(
-        std::min(call.m_deadline, Clock::now() + kRefusalPause));
+      outcome == AttemptOutcome::kOutcomeUnknown ? "lost" : "not_run");
+  if (context.m_sharded && outcome != AttemptOutcome::kOutcomeUnknown) {
+    // Only the owner can run the request: wait briefly for the owner to recover
+    // or for a snapshot with a new owner.
+    m_snapshot_changed.WaitUntil(
+        std::min(context.m_deadline, Clock::now() + kRefusalRetryDelay));
   }
   return true;
 }
 
-void RequestHandler::ThrowFailure(const Call& call,
+void RequestHandler::ThrowFailure(const RequestContext& context,
                                   ErrorCode not_run,
                                   ErrorCode unknown) {
-  if (!call.m_maybe_ran) {
-    throw Error(not_run, Execution::kNotRun, call.m_service);
+  if (!context.m_maybe_ran) {
+    throw Error(not_run, Execution::kNotRun, context.m_service);
   }
-  const bool late = Clock::now() >= call.m_deadline;
-  throw Error(late ? ErrorCode::kDeadlineExceeded : unknown,
-              Execution::kUnknown, call.m_service);
+  const bool deadline_passed = Clock::now() >= context.m_deadline;
+  throw Error(deadline_passed ? ErrorCode::kDeadlineExceeded : unknown,
+              Execution::kUnknown, context.m_service);
 }
 
-RetryBudget& RequestHandler::BudgetOf(const std::string& service) {
+RetryBudget& RequestHandler::GetRetryBudget(const std::string& service) {
   const double ratio = m_settings.m_retry_percent / 100.0;
-  return m_budgets.try_emplace(service, ratio, kRetryReserve).first->second;
+  return m_retry_budgets.try_emplace(service, ratio, kMaxSavedRetries)
+      .first->second;
 }
 
-MemberReport RequestHandler::TakeReport(TimePoint now, bool with_loads) {
+MemberReport RequestHandler::CollectReport(TimePoint now, bool with_loads) {
   MemberReport report;
-  report.m_demands = m_rates.BuildDemands(now);
+  report.m_demands = m_rate_limiter.BuildDemands(now);
   if (!with_loads) {
     return report;
   }
@@ -496,7 +528,7 @@
     }
   }
   m_slice_counts.clear();
-  report.m_speeds = m_system.TakeSpeeds();
+  report.m_speeds = m_send_system.CollectSpeeds();
   return report;
 }
 
--- a/src/gateway/request_handler.h
+++ b/src/gateway/request_handler.h
@@ -20,7 +20,8 @@
 
 namespace foxtail {
 
-/// Tells how old the word on API keys is.
+/// Tells whether the configuration of API keys is recent enough to admit
+/// requests.
 class AccessFreshness {
  public:
   virtual ~AccessFreshness() = default;
@@ -29,87 +30,91 @@
   virtual bool IsFresh() const = 0;
 };
 
-/// Takes each client's request through its decisions to a backend server, on
-/// the client's fiber. One per traffic thread.
+/// Handles clients' requests: resolves the route, authorizes, limits the rate,
+/// and forwards each request to a backend server. Runs on the fiber of the
+/// client's connection. One instance for each traffic thread.
 class RequestHandler {
  public:
   RequestHandler(const GatewaySettings& settings,
-                 const FrontEnd& front,
+                 const FrontEnd& front_end,
                  const AccessFreshness& freshness,
                  RequestLog& log,
                  Metrics& metrics);
 
-  /// Answers a request.
+  /// Handles a request and returns the response. Errors become error responses.
   HttpResponse Handle(HttpRequest& request);
 
-  /// Acts on a new snapshot.
+  /// Replaces the routing snapshot and wakes the waiting requests.
   void OnSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot);
 
-  /// Returns a report for the leader, with loads and speeds since the last one
-  /// that had them if `with_loads`.
-  MemberReport TakeReport(TimePoint now, bool with_loads);
+  /// Returns a report for the leader. Includes the loads and speeds since the
+  /// last such report if `with_loads`, and resets them.
+  MemberReport CollectReport(TimePoint now, bool with_loads);
 
-  RateLimiter& GetRates() { return m_rates; }
+  RateLimiter& GetRateLimiter() { return m_rate_limiter; }
 
-  /// Forgets what was not used lately.
-  void Expire(TimePoint now) { m_system.Expire(now); }
+  /// Erases the send state of servers that were not used recently.
+  void Expire(TimePoint now) { m_send_system.Expire(now); }
 
   bool HasConfiguration() const { return m_snapshot && m_snapshot->m_routes; }
   uint64_t ConfigurationVersion() const;
 
-  /// Returns the limits of the configuration, which must be known.
+  /// Returns the request limits. Requires `HasConfiguration()`.
   const RequestLimits& GetLimits() const {
     return m_snapshot->m_routes->GetConfig().m_limits;
   }
-  size_t CountInFlight() const { return m_system.CountInFlight(); }
+  size_t CountInFlight() const { return m_send_system.CountInFlight(); }
 
  private:
-  struct Call;
-  enum class Verdict;
-
-  HttpResponse Run(HttpRequest& request, Call& call);
-  void Resolve(Call& call);
-  void Authorize(Call& call);
-  void Admit(Call& call);
-  HttpResponse Attempts(const HttpRequest& request, Call& call);
-  const RoutedServer* FindTarget(Call& call);
-  const RoutedServer* FindOwner(Call& call);
-  void AwaitTarget(Call& call);
-  bool AwaitTurn(Call& call, const RoutedServer& server);
-  Verdict Attempt(const HttpRequest& request,
-                  Call& call,
-                  const RoutedServer& server,
-                  HttpResponse& response);
-  Verdict JudgeExchange(Call& call,
-                        const RoutedServer& server,
-                        TimePoint started,
-                        ExchangeResult& result,
-                        const ServerResponse& answer,
-                        HttpResponse& response);
-  bool MayRetry(Call& call, Verdict verdict);
-  void ThrowFailure(const Call& call, ErrorCode not_run, ErrorCode unknown);
-  void CountLoad(const Call& call);
-  void Note(const Call& call, const Error& error);
-  RetryBudget& BudgetOf(const std::string& service);
-  void WakeNext(SendServerId id);
+  struct RequestContext;
+  enum class AttemptOutcome;
+
+  HttpResponse Process(HttpRequest& request, RequestContext& context);
+  void Resolve(RequestContext& context);
+  void Authorize(RequestContext& context);
+  void Admit(RequestContext& context);
+  HttpResponse SendWithRetries(const HttpRequest& request,
+                               RequestContext& context);
+  const RoutedServer* FindTarget(RequestContext& context);
+  const RoutedServer* FindOwner(RequestContext& context);
+  void WaitForTarget(RequestContext& context);
+  bool WaitForTurn(RequestContext& context, const RoutedServer& server);
+  AttemptOutcome SendOnce(const HttpRequest& request,
+                          RequestContext& context,
+                          const RoutedServer& server,
+                          HttpResponse& response);
+  AttemptOutcome ClassifyExchange(RequestContext& context,
+                                  const RoutedServer& server,
+                                  TimePoint started_at,
+                                  ExchangeResult& result,
+                                  const ServerResponse& server_response,
+                                  HttpResponse& response);
+  bool CanRetry(RequestContext& context, AttemptOutcome outcome);
+  void ThrowFailure(const RequestContext& context,
+                    ErrorCode not_run,
+                    ErrorCode unknown);
+  void CountSliceLoad(const RequestContext& context);
+  void LogFailure(const RequestContext& context, const Error& error);
+  RetryBudget& GetRetryBudget(const std::string& service);
+  void WakeQueueHead(SendServerId id);
 
   const GatewaySettings& m_settings;
   const FrontEnd& m_front_end;
   const AccessFreshness& m_freshness;
-  RequestLog& m_log;
+  RequestLog& m_request_log;
   Metrics& m_metrics;
   HttpClient m_client;
-  SendSystem m_system;
-  RateLimiter m_rates;
-  TrafficSplitter m_parts;
+  SendSystem m_send_system;
+  RateLimiter m_rate_limiter;
+  TrafficSplitter m_splitter;
   std::shared_ptr<const RoutingSnapshot> m_snapshot;
-  std::map<std::string, RetryBudget> m_budgets;
+  std::map<std::string, RetryBudget> m_retry_budgets;
 
-  /// Requests that wait for their turn at a server, by ticket.
-  std::unordered_map<uint64_t, FiberEvent*> m_waiting;
-  FiberEvent m_changed;
+  /// Events that wake the requests queued for a server, by ticket.
+  std::unordered_map<uint64_t, FiberEvent*> m_queued_events;
+  FiberEvent m_snapshot_changed;
   std::map<std::string, std::map<uint16_t, uint16_t>> m_slice_counts;
-  uint64_t m_next_ticket = 0;
+  uint64_t m_last_ticket = 0;
 };
 
 }  // namespace foxtail
--- a/src/gateway/request_log.h
+++ b/src/gateway/request_log.h
@@ -11,54 +11,54 @@
 
 namespace foxtail {
 
-/// What is logged about one request.
-struct RequestFacts {
+/// The fields that are logged about one request.
+struct RequestLogEntry {
   std::string m_request_id;
   std::string m_workspace;
   std::string m_service;
 
-  /// Last backend server it was sent to, if any.
+  /// Backend server of the last attempt, empty if there was none.
   std::string m_server;
   uint32_t m_attempts = 0;
 
-  /// Time since its arrival.
+  /// Time since the request arrived.
   std::chrono::milliseconds m_age{};
 
-  /// Configuration version that decided.
+  /// Version of the configuration in force when the event is logged.
   uint64_t m_version = 0;
 };
 
-/// Writes the events of one traffic thread's requests at a bounded rate. Events
-/// over it are counted by kind, and the counts written later.
+/// Writes the events of one traffic thread's requests at a limited rate.
+/// Suppressed events are counted by kind, and the counts are logged later.
 class RequestLog {
  public:
   explicit RequestLog(EventLog& events) : m_events(events) {}
 
-  /// A request failed or was refused.
-  void Failed(const RequestFacts& facts, const Error& error);
+  /// Logs and counts a request that failed or was refused.
+  void LogFailure(const RequestLogEntry& entry, const Error& error);
 
-  /// A request is sent again.
-  void Retried(const RequestFacts& facts, const std::string& reason);
+  /// Logs a retry of a request.
+  void LogRetry(const RequestLogEntry& entry, const std::string& reason);
 
   void CountRequest() { ++m_requests; }
   void CountServed() { ++m_served; }
 
-  /// Writes the counts since the last summary.
-  void Summarize(size_t in_flight,
-                 std::chrono::milliseconds configuration_age,
-                 uint64_t version);
+  /// Logs the request counts since the last summary and resets them.
+  void LogSummary(size_t in_flight,
+                  std::chrono::milliseconds configuration_age,
+                  uint64_t version);
 
  private:
-  bool MayWrite(const std::string& kind);
+  bool AllowEvent(const std::string& kind);
 
-  struct Allowance {
+  struct EventCounts {
     uint32_t m_written = 0;
     uint64_t m_suppressed = 0;
   };
 
   EventLog& m_events;
-  std::map<std::string, Allowance> m_kinds;
-  TimePoint m_window_start;
+  std::map<std::string, EventCounts> m_counts_by_kind;
+  TimePoint m_window_started_at;
   uint64_t m_requests = 0;
   uint64_t m_served = 0;
   uint64_t m_refused = 0;
--- a/src/gateway/routing_snapshot.cc
+++ b/src/gateway/routing_snapshot.cc
@@ -5,12 +5,12 @@
 namespace foxtail {
 namespace {
 
-// For how long requests for a leaving owner's keys still go to it: moving its
-// keys takes milliseconds. Well below the bound within which new work must
-// cease.
-constexpr std::chrono::milliseconds kLeavingGrace{900};
+// How long a draining, evacuated or deregistered owner still receives requests
+// for its keys. Moving the keys takes milliseconds, and the limit is well below
+// the time within which new work must cease.
+constexpr std::chrono::milliseconds kDrainGracePeriod{900};
 
-RoutedServer RoutedOf(const ServerRow& server) {
+RoutedServer BuildServer(const ServerRow& server) {
   const BackendServerEntry& entry = server.m_entry;
   RoutedServer routed;
   routed.m_id = entry.m_id;
@@ -21,14 +21,14 @@
   routed.m_eligible = IsEligible(server);
   routed.m_send_until = TimePoint::max();
   if (!server.m_listed) {
-    routed.m_send_until = server.m_unlisted_since + kLeavingGrace;
+    routed.m_send_until = server.m_unlisted_since + kDrainGracePeriod;
   } else if (!routed.m_eligible) {
-    routed.m_send_until = server.m_leaving_since + kLeavingGrace;
+    routed.m_send_until = server.m_leaving_since + kDrainGracePeriod;
   }
   return routed;
 }
 
-std::vector<RoutedRange> RangesOf(const OwnersRecord& record) {
+std::vector<RoutedRange> BuildRanges(const OwnersRecord& record) {
   std::vector<RoutedRange> ranges;
   for (const OwnedRange& owned : record.m_ranges) {
     ranges.push_back({owned.m_range, owned.m_server, owned.m_grant_confirmed});
@@ -59,14 +59,14 @@
   auto snapshot = std::make_shared<RoutingSnapshot>();
   snapshot->m_routes = tables.m_routes;
   tables.m_servers.ForEach([&](ServerId, const ServerRow& server) {
-    RoutedServer routed = RoutedOf(server);
+    RoutedServer routed = BuildServer(server);
     auto& servers = snapshot->m_endpoints[server.m_entry.m_service].m_servers;
     servers.emplace(routed.m_id, std::move(routed));
   });
   for (const auto& [service, record] : tables.m_owners) {
-    snapshot->m_endpoints[service].m_ranges = RangesOf(record);
+    snapshot->m_endpoints[service].m_ranges = BuildRanges(record);
   }
-  snapshot->m_members = std::max<size_t>(1, tables.m_members.size());
+  snapshot->m_member_count = std::max<size_t>(1, tables.m_members.size());
   return snapshot;
 }
 
--- a/src/gateway/send_system.cc
+++ b/src/gateway/send_system.cc
@@ -8,126 +8,128 @@
 
 using std::chrono::milliseconds;
 
-// Requests avoid a server for this long after no connection could be made; a
-// process that was restarted listens again within about a second.
-constexpr milliseconds kDownPause{250};
+// Requests avoid a server for this long after a failed connection; a restarted
+// process listens again within about a second.
+constexpr milliseconds kUnreachableBackoff{250};
 
-// A load report loses half of its weight in this time.
+// Half-life of the weight of a load report.
 constexpr milliseconds kLoadHalfLife{250};
 
-// Weight of the newest answer in the smoothed latency.
-constexpr double kLatencyGain = 0.15;
+// Weight of the newest response in the smoothed latency.
+constexpr double kLatencySmoothing = 0.15;
 
-// Part of the usual latency that a request needs at the server at least: many
-// are faster than the mean, so a request is not given up for half of it.
-constexpr double kLeastServicePart = 0.5;
+// Fraction of the smoothed latency that a request is assumed to need at least.
+// Many requests are faster than the mean, so a request is only refused if less
+// than this fraction of the time is left.
+constexpr double kMinServiceFraction = 0.5;
 
-// Requests that wait for one server on this host. At a window of a few, more
-// could not be served within any usual deadline.
-constexpr size_t kLongestQueue = 48;
+// Longest queue for one server on this host. With a window of a few requests, a
+// longer queue could not be served within any usual deadline.
+constexpr size_t kMaxQueueLength = 48;
 
-// What a server in another data centre counts as, in requests for each slot.
-constexpr double kFarPenalty = 0.35;
+// Load added to servers in other data centres, in requests for each slot.
+constexpr double kRemoteLoadPenalty = 0.35;
 
-// Rows of servers that were not used for this long are forgotten.
-constexpr std::chrono::seconds kForgetAfter{20};
+// Rows of servers that were not used for this long are erased.
+constexpr std::chrono::seconds kExpireAfter{20};
 
-double WeightOfAge(Duration age) {
+double DecayFactor(Duration age) {
   return std::exp2(-ToSeconds(age) / ToSeconds(kLoadHalfLife));
 }
 
 }  // namespace
 
-SendServerId SendSystem::RowOf(const RoutedServer& server, TimePoint now) {
+SendServerId SendSystem::GetOrInsert(const RoutedServer& server,
+                                     TimePoint now) {
   const auto found = m_by_id.find(server.m_id);
   if (found != m_by_id.end()) {
-    m_servers.Get(found->second).m_last_used = now;
+    m_servers.Get(found->second).m_last_used_at = now;
     return found->second;
   }
   SendServerRow row;
   row.m_id = server.m_id;
   row.m_window = std::make_unique<AdaptiveWindow>();
   row.m_load.m_slots = server.m_slots;
-  row.m_last_used = now;
+  row.m_last_used_at = now;
   const SendServerId id = m_servers.Insert(std::move(row));
   m_by_id[server.m_id] = id;
   return id;
 }
 
-double SendSystem::LoadOf(SendServerId id,
-                          const RoutedServer& server,
-                          TimePoint now) const {
+double SendSystem::GetRelativeLoad(SendServerId id,
+                                   const RoutedServer& server,
+                                   TimePoint now) const {
   const SendServerRow& row = m_servers.Get(id);
   const double reported = (row.m_load.m_running + row.m_load.m_waiting) *
-                          WeightOfAge(now - row.m_load_at);
-  const double own = row.m_in_flight + row.m_waiting.size();
-  return std::max(reported, own) * row.m_load.m_slowdown.value_or(1) /
+                          DecayFactor(now - row.m_load_received_at);
+  const double local = row.m_in_flight + row.m_queue.size();
+  return std::max(reported, local) * row.m_load.m_slowdown.value_or(1) /
          std::max(1U, server.m_slots);
 }
 
-Duration SendSystem::EstimatedTime(SendServerId id,
-                                   const RoutedServer& server,
-                                   uint32_t rank,
-                                   TimePoint now) const {
+Duration SendSystem::EstimateTotalTime(SendServerId id,
+                                       const RoutedServer& server,
+                                       uint32_t priority,
+                                       TimePoint now) const {
   const SendServerRow& row = m_servers.Get(id);
   double ahead = 0;
-  for (const auto& [other, count] : row.m_waiting_by_rank) {
-    ahead += other <= rank ? count : 0;
+  for (const auto& [other, count] : row.m_queued_by_priority) {
+    ahead += other <= priority ? count : 0;
   }
-  // Requests at the server are in the latency that was measured there.
+  // Requests that are in flight already are part of the measured latency.
   const double rounds = ahead / row.m_window->Size();
   const Duration queue = FromSeconds(row.m_latency_seconds * rounds);
-  const bool cold = now < server.m_cold_until && row.m_next_cold_send > now;
-  return queue + EstimatedService(id) +
-         (cold ? row.m_next_cold_send - now : Duration(0));
+  const bool cold = now < server.m_cold_until && row.m_next_cold_send_at > now;
+  return queue + EstimateServiceTime(id) +
+         (cold ? row.m_next_cold_send_at - now : Duration(0));
 }
 
-Duration SendSystem::EstimatedService(SendServerId id) const {
-  return FromSeconds(m_servers.Get(id).m_latency_seconds * kLeastServicePart);
+Duration SendSystem::EstimateServiceTime(SendServerId id) const {
+  return FromSeconds(m_servers.Get(id).m_latency_seconds * kMinServiceFraction);
 }
 
-bool SendSystem::HasRoom(SendServerId id) const {
-  return m_servers.Get(id).m_waiting.size() < kLongestQueue;
+bool SendSystem::HasQueueSpace(SendServerId id) const {
+  return m_servers.Get(id).m_queue.size() < kMaxQueueLength;
 }
 
-std::optional<WaitingOrder> SendSystem::FirstWaiting(SendServerId id) const {
+std::optional<QueueKey> SendSystem::GetQueueHead(SendServerId id) const {
   const SendServerRow& row = m_servers.Get(id);
-  if (row.m_waiting.empty()) {
+  if (row.m_queue.empty()) {
     return std::nullopt;
   }
-  return *row.m_waiting.begin();
+  return *row.m_queue.begin();
 }
 
-void SendSystem::StartWaiting(SendServerId id, const WaitingOrder& order) {
+void SendSystem::Enqueue(SendServerId id, const QueueKey& key) {
   SendServerRow& row = m_servers.Get(id);
-  row.m_waiting.insert(order);
-  ++row.m_waiting_by_rank[order.m_rank];
+  row.m_queue.insert(key);
+  ++row.m_queued_by_priority[key.m_priority];
 }
 
-void SendSystem::StopWaiting(SendServerId id, const WaitingOrder& order) {
+void SendSystem::Dequeue(SendServerId id, const QueueKey& key) {
   SendServerRow& row = m_servers.Get(id);
-  if (row.m_waiting.erase(order) > 0) {
-    --row.m_waiting_by_rank[order.m_rank];
+  if (row.m_queue.erase(key) > 0) {
+    --row.m_queued_by_priority[key.m_priority];
   }
 }
 
-bool SendSystem::MaySend(SendServerId id,
+bool SendSystem::CanSend(SendServerId id,
                          const RoutedServer& server,
-                         const WaitingOrder& order,
+                         const QueueKey& key,
                          TimePoint now,
                          TimePoint& retry_at) const {
   const SendServerRow& row = m_servers.Get(id);
   retry_at = TimePoint::max();
-  if (row.m_waiting.empty() || *row.m_waiting.begin() != order ||
+  if (row.m_queue.empty() || *row.m_queue.begin() != key ||
       row.m_in_flight >= std::max(1.0, std::floor(row.m_window->Size()))) {
     return false;
   }
-  if (now < row.m_next_send) {
-    retry_at = row.m_next_send;
+  if (now < row.m_next_send_at) {
+    retry_at = row.m_next_send_at;
     return false;
   }
-  if (now < server.m_cold_until && now < row.m_next_cold_send) {
-    retry_at = std::min(row.m_next_cold_send, server.m_cold_until);
+  if (now < server.m_cold_until && now < row.m_next_cold_send_at) {
+    retry_at = std::min(row.m_next_cold_send_at, server.m_cold_until);
     return false;
   }
   return true;
@@ -135,44 +137,46 @@
 
 void SendSystem::OnSent(SendServerId id,
                         const RoutedServer& server,
-                        Duration cold_pause,
+                        Duration cold_send_interval,
                         TimePoint now) {
   SendServerRow& row = m_servers.Get(id);
   ++row.m_in_flight;
   if (now < server.m_cold_until) {
-    row.m_next_cold_send = now + cold_pause;
+    row.m_next_cold_send_at = now + cold_send_interval;
   }
 }
 
-void SendSystem::OnEnded(SendServerId id,
-                         const std::optional<LoadReport>& load,
-                         bool answered,
-                         Duration latency,
-                         TimePoint now) {
+void SendSystem::OnCompleted(SendServerId id,
+                             const std::optional<LoadReport>& load,
+                             bool executed,
+                             Duration latency,
+                             TimePoint now) {
   SendServerRow& row = m_servers.Get(id);
   --row.m_in_flight;
-  if (answered) {
+  if (executed) {
     const double seconds = ToSeconds(latency);
     row.m_latency_seconds =
         row.m_latency_seconds == 0
             ? seconds
             : row.m_latency_seconds +
-                  kLatencyGain * (seconds - row.m_latency_seconds);
+                  kLatencySmoothing * (seconds - row.m_latency_seconds);
   }
-  if (answered && load && load->m_waiting == 0) {
-    ++row.m_free_answers;
-    row.m_free_seconds += ToSeconds(latency);
-    row.m_free_slowdown += load->m_slowdown.value_or(0);
+  if (executed && load && load->m_waiting == 0) {
+    ++row.m_unqueued_responses;
+    row.m_unqueued_seconds_sum += ToSeconds(latency);
+    row.m_unqueued_slowdown_sum += load->m_slowdown.value_or(0);
   }
   if (load) {
     row.m_load = *load;
-    row.m_load_at = now;
-    row.m_window->OnLoad(*load);
+    row.m_load_received_at = now;
+    row.m_window->OnLoadReport(*load);
   }
-  // With a window of a third of a request, two thirds of the time are a pause.
+  // A window below one is enforced by a pause after each request: with a window
+  // of 1/3, two thirds of the time are a pause.
   const double size = row.m_window->Size();
   if (size < 1) {
-    row.m_next_send = now + FromSeconds(row.m_latency_seconds * (1 / size - 1));
+    row.m_next_send_at =
+        now + FromSeconds(row.m_latency_seconds * (1 / size - 1));
   }
 }
 
@@ -181,33 +185,34 @@
 }
 
 void SendSystem::OnUnreachable(SendServerId id, TimePoint now) {
-  m_servers.Get(id).m_down_until = now + kDownPause;
+  m_servers.Get(id).m_unreachable_until = now + kUnreachableBackoff;
 }
 
-bool SendSystem::IsDown(SendServerId id, TimePoint now) const {
-  return now < m_servers.Get(id).m_down_until;
+bool SendSystem::IsUnreachable(SendServerId id, TimePoint now) const {
+  return now < m_servers.Get(id).m_unreachable_until;
 }
 
-std::vector<ServerSpeed> SendSystem::TakeSpeeds() {
+std::vector<ServerSpeed> SendSystem::CollectSpeeds() {
   std::vector<ServerSpeed> speeds;
   m_servers.ForEach([&speeds](SendServerId, SendServerRow& row) {
-    if (row.m_free_answers > 0) {
-      const double count = row.m_free_answers;
-      speeds.push_back({row.m_id, row.m_free_answers,
-                        static_cast<float>(row.m_free_seconds / count),
-                        static_cast<float>(row.m_free_slowdown / count)});
+    if (row.m_unqueued_responses > 0) {
+      const double count = row.m_unqueued_responses;
+      speeds.push_back(
+          {row.m_id, row.m_unqueued_responses,
+           static_cast<float>(row.m_unqueued_seconds_sum / count),
+           static_cast<float>(row.m_unqueued_slowdown_sum / count)});
     }
-    row.m_free_answers = 0;
-    row.m_free_seconds = 0;
-    row.m_free_slowdown = 0;
+    row.m_unqueued_responses = 0;
+    row.m_unqueued_seconds_sum = 0;
+    row.m_unqueued_slowdown_sum = 0;
   });
   return speeds;
 }
 
 void SendSystem::Expire(TimePoint now) {
   m_servers.ForEach([&](SendServerId id, const SendServerRow& row) {
-    if (row.m_in_flight == 0 && row.m_waiting.empty() &&
-        now - row.m_last_used > kForgetAfter) {
+    if (row.m_in_flight == 0 && row.m_queue.empty() &&
+        now - row.m_last_used_at > kExpireAfter) {
       m_by_id.erase(row.m_id);
       m_servers.Erase(id);
     }
@@ -222,29 +227,30 @@
   return count;
 }
 
-Duration ColdPause(double cold_rate, size_t members) {
+Duration ColdSendInterval(double cold_rate, size_t members) {
   if (cold_rate <= 0) {
     return Duration(0);
   }
   return FromSeconds(static_cast<double>(members) / cold_rate);
 }
 
-const RoutedServer* ChooseServer(const ServiceEndpoints& places,
+const RoutedServer* ChooseServer(const ServiceEndpoints& endpoints,
                                  const std::string& data_centre,
-                                 const std::set<std::string>& tried,
+                                 const std::set<std::string>& tried_servers,
                                  SendSystem& system,
                                  TimePoint now) {
   const RoutedServer* best = nullptr;
   double best_load = 0;
-  for (const auto& [id, server] : places.m_servers) {
-    if (!server.m_eligible || tried.contains(id)) {
+  for (const auto& [id, server] : endpoints.m_servers) {
+    if (!server.m_eligible || tried_servers.contains(id)) {
       continue;
     }
-    const SendServerId row = system.RowOf(server, now);
-    double load = system.LoadOf(row, server, now);
-    load += server.m_data_centre == data_centre ? 0 : kFarPenalty;
+    const SendServerId row_id = system.GetOrInsert(server, now);
+    double load = system.GetRelativeLoad(row_id, server, now);
+    load += server.m_data_centre == data_centre ? 0 : kRemoteLoadPenalty;
     load += now < server.m_cold_until ? 1 : 0;
-    load += system.IsDown(row, now) ? 1000 : 0;  // the last resort
+    load += system.IsUnreachable(row_id, now) ? 1000
+                                              : 0;  // only if no other is left
     if (!best || load < best_load) {
       best = &server;
       best_load = load;
--- a/src/gateway/send_system.h
+++ b/src/gateway/send_system.h
@@ -15,114 +15,119 @@
 struct SendServerRow;
 using SendServerId = TypedId<SendServerRow>;
 
-/// Order in which requests wait for a server: by rank, then by arrival.
-struct WaitingOrder {
-  uint32_t m_rank = 0;
+/// Sort key of a server's queue: by priority (0 first), then by arrival.
+struct QueueKey {
+  uint32_t m_priority = 0;
   uint64_t m_ticket = 0;
-  auto operator<=>(const WaitingOrder&) const = default;
+  auto operator<=>(const QueueKey&) const = default;
 };
 
-/// A backend server as this daemon's traffic sees it.
+/// Send state of one backend server at this gateway.
 struct SendServerRow {
   std::string m_id;
   std::unique_ptr<SendWindow> m_window;
   uint32_t m_in_flight = 0;
-  std::set<WaitingOrder> m_waiting;
-  std::map<uint32_t, uint32_t> m_waiting_by_rank;
+  std::set<QueueKey> m_queue;
+  std::map<uint32_t, uint32_t> m_queued_by_priority;
 
-  /// The last load it reported, and when.
+  /// The server's last load report and the time of its arrival.
   LoadReport m_load;
-  TimePoint m_load_at;
+  TimePoint m_load_received_at;
 
-  /// Smoothed time of a request at the server, queueing included.
+  /// Smoothed latency of the server's responses, queueing at the server
+  /// included.
   double m_latency_seconds = 0;
 
-  /// Its connections could not be made: not sent to before this time.
-  TimePoint m_down_until;
+  /// After a failed connection, the server counts as unreachable until this
+  /// time.
+  TimePoint m_unreachable_until;
 
-  /// While cold: the next request may not be sent before this time.
-  TimePoint m_next_cold_send;
+  /// Earliest time of the next request while the server is cold.
+  TimePoint m_next_cold_send_at;
 
-  /// While its queue is long: the same.
-  TimePoint m_next_send;
-  TimePoint m_last_used;
+  /// Earliest time of the next request; set while the window is below one.
+  TimePoint m_next_send_at;
+  TimePoint m_last_used_at;
 
-  /// Answers to requests that found a free slot since the last report, and
-  /// sums of their times and of the slowdown told with them.
-  uint32_t m_free_answers = 0;
-  double m_free_seconds = 0;
-  double m_free_slowdown = 0;
+  /// Number of responses since the last report to requests that did not queue
+  /// at the server, and the sums of their latencies and reported slowdowns.
+  uint32_t m_unqueued_responses = 0;
+  double m_unqueued_seconds_sum = 0;
+  double m_unqueued_slowdown_sum = 0;
 };
 
-/// Decides whether a request may be sent to a server now, must wait, or cannot
-/// be served in time. Reads no clock and sends nothing.
+/// Decides whether a request to a server is sent now, waits, or cannot be
+/// served in time. Reads no clock and performs no I/O.
 class SendSystem {
  public:
-  /// Returns the row of a server, made if there is none.
-  SendServerId RowOf(const RoutedServer& server, TimePoint now);
-
-  /// Returns how long a request that arrives now would take, by the requests
-  /// that go before it and by how long earlier ones took.
-  Duration EstimatedTime(SendServerId id,
-                         const RoutedServer& server,
-                         uint32_t rank,
-                         TimePoint now) const;
-
-  /// Returns how long a request needs once it is sent, at least.
-  Duration EstimatedService(SendServerId id) const;
-
-  /// Returns whether more requests may wait for the server.
-  bool HasRoom(SendServerId id) const;
-
-  /// Returns the request that goes next, if any waits.
-  std::optional<WaitingOrder> FirstWaiting(SendServerId id) const;
-
-  /// Begins and ends waiting for a server.
-  void StartWaiting(SendServerId id, const WaitingOrder& order);
-  void StopWaiting(SendServerId id, const WaitingOrder& order);
-
-  /// Returns whether the waiting request may be sent now: it is first in order,
-  /// the window has room, and a cold server may take one more. `retry_at`
-  /// receives the time at which to ask again if no answer comes before.
-  bool MaySend(SendServerId id,
+  /// Returns the row of a server; inserts one if there is none.
+  SendServerId GetOrInsert(const RoutedServer& server, TimePoint now);
+
+  /// Returns the estimated time until the response to a request that arrives
+  /// now, from the requests queued before it and from past latencies.
+  Duration EstimateTotalTime(SendServerId id,
+                             const RoutedServer& server,
+                             uint32_t priority,
+                             TimePoint now) const;
+
+  /// Returns the estimated minimum time between sending a request and its
+  /// response.
+  Duration EstimateServiceTime(SendServerId id) const;
+
+  /// Returns whether the server's queue accepts another request.
+  bool HasQueueSpace(SendServerId id) const;
+
+  /// Returns the first request of the queue, or nothing if the queue is empty.
+  std::optional<QueueKey> GetQueueHead(SendServerId id) const;
+
+  /// Adds a request to a server's queue or removes it.
+  void Enqueue(SendServerId id, const QueueKey& key);
+  void Dequeue(SendServerId id, const QueueKey& key);
+
+  /// Returns whether a queued request may be sent now: it is first in the
+  /// queue, the window has room, and a cold server may receive another request.
+  /// If not, `retry_at` receives the time at which to check again, or
+  /// `TimePoint::max()` if only a queue change or a response can help.
+  bool CanSend(SendServerId id,
                const RoutedServer& server,
-               const WaitingOrder& order,
+               const QueueKey& key,
                TimePoint now,
                TimePoint& retry_at) const;
 
-  /// A request is sent. `cold_pause` is the time until the next one may be sent
-  /// to a cold server by this daemon.
+  /// Records that a request is sent. `cold_send_interval` is the shortest time
+  /// between two requests of this gateway to a cold server.
   void OnSent(SendServerId id,
               const RoutedServer& server,
-              Duration cold_pause,
+              Duration cold_send_interval,
               TimePoint now);
 
-  /// A sent request ended; `answered` if the server ran it.
-  void OnEnded(SendServerId id,
-               const std::optional<LoadReport>& load,
-               bool answered,
-               Duration latency,
-               TimePoint now);
+  /// Records the end of a sent request. `executed` tells whether the server ran
+  /// the request, `latency` how long the attempt took.
+  void OnCompleted(SendServerId id,
+                   const std::optional<LoadReport>& load,
+                   bool executed,
+                   Duration latency,
+                   TimePoint now);
 
-  /// The server refused a request because it is full.
+  /// Records that the server refused a request because it was full.
   void OnRefused(SendServerId id);
 
-  /// No connection to the server could be made.
+  /// Records that no connection to the server could be made.
   void OnUnreachable(SendServerId id, TimePoint now);
 
-  /// Returns whether the server could not be reached lately.
-  bool IsDown(SendServerId id, TimePoint now) const;
+  /// Returns whether a connection to the server failed recently.
+  bool IsUnreachable(SendServerId id, TimePoint now) const;
 
-  /// Returns how loaded the server is, in requests for each slot.
-  double LoadOf(SendServerId id,
-                const RoutedServer& server,
-                TimePoint now) const;
+  /// Returns the load of the server in requests for each slot.
+  double GetRelativeLoad(SendServerId id,
+                         const RoutedServer& server,
+                         TimePoint now) const;
 
-  /// Returns how fast servers answered requests that found a free slot, since
-  /// the last call.
-  std::vector<ServerSpeed> TakeSpeeds();
+  /// Returns, for each server, the mean latency and slowdown of requests that
+  /// did not queue at the server, and resets the measurement.
+  std::vector<ServerSpeed> CollectSpeeds();
 
-  /// Forgets servers without requests that were not used lately.
+  /// Erases the rows of servers without requests that were not used recently.
   void Expire(TimePoint now);
 
   size_t CountInFlight() const;
@@ -132,15 +137,17 @@
   std::map<std::string, SendServerId> m_by_id;
 };
 
-/// Pause between two requests of one daemon to a cold server, so that all
-/// daemons together stay within the server's rate.
-Duration ColdPause(double cold_rate, size_t members);
+/// Returns the shortest time between two requests of one gateway to a cold
+/// server, so that `members` gateways together stay within the server's rate of
+/// `cold_rate` requests a second. 0 for a rate of 0, which means no limit.
+Duration ColdSendInterval(double cold_rate, size_t members);
 
-/// Chooses a server of a service without shard keys: least loaded, the own data
-/// centre first. Returns null when there is none. `tried` are left out.
-const RoutedServer* ChooseServer(const ServiceEndpoints& places,
+/// Chooses the least loaded eligible server of a service without shard keys,
+/// with a preference for `data_centre`. Skips `tried_servers`. Returns null if
+/// no server is left.
+const RoutedServer* ChooseServer(const ServiceEndpoints& endpoints,
                                  const std::string& data_centre,
-                                 const std::set<std::string>& tried,
+                                 const std::set<std::string>& tried_servers,
                                  SendSystem& system,
                                  TimePoint now);
 
--- a/src/gateway/send_window.h
+++ b/src/gateway/send_window.h
@@ -5,32 +5,33 @@
 
 namespace foxtail {
 
-/// How many requests this daemon may have at one backend server at once. Other
-/// daemons send to the server as well, so its own reports decide.
+/// Limits the requests that this gateway has in flight to one backend server.
+/// Other gateways send to the same server, so the limit follows the server's
+/// own load reports.
 class SendWindow {
  public:
   virtual ~SendWindow() = default;
 
-  /// Returns the limit in requests. Below 1, the server is to be left alone for
-  /// some time after each request.
+  /// Returns the limit in requests. Below 1, the gateway pauses after each
+  /// request to the server.
   virtual double Size() const = 0;
 
-  /// The server answered with its load.
-  virtual void OnLoad(const LoadReport& load) = 0;
+  /// Adjusts the limit to a load report of the server.
+  virtual void OnLoadReport(const LoadReport& load) = 0;
 
-  /// The server refused a request because it is full.
+  /// Lowers the limit after the server refused a request because it was full.
   virtual void OnRefusal() = 0;
 };
 
-/// Load pattern: bursts and busy keys that fill servers' queues, where requests
-/// wait without order and, at some servers, are lost. Grows slowly while the
-/// server's queue is short. While it is long, shrinks in proportion to what is
-/// too much there, also below one: many hosts with one request each are enough
-/// to fill a queue.
+/// Suited to bursts and hot keys that fill the servers' queues, where requests
+/// wait in no order of priority and, at some servers, are lost. The window
+/// grows slowly while the server's queue is short. While the queue is long, the
+/// window shrinks in proportion to the excess, also below one: many hosts with
+/// one request each are enough to fill a queue.
 class AdaptiveWindow : public SendWindow {
  public:
   double Size() const override;
-  void OnLoad(const LoadReport& load) override;
+  void OnLoadReport(const LoadReport& load) override;
   void OnRefusal() override;
 
  private:
--- a/src/gateway/traffic_splitter.cc
+++ b/src/gateway/traffic_splitter.cc
@@ -12,11 +12,12 @@
   auto& balances = m_balances[route.m_name];
   const RoutePart* chosen = nullptr;
   int64_t total = 0;
-  for (const RoutePart& part : route.m_parts) {
-    balances[part.m_service] += part.m_weight;
-    total += part.m_weight;
-    if (!chosen || balances[part.m_service] > balances[chosen->m_service]) {
-      chosen = &part;
+  for (const RoutePart& candidate : route.m_parts) {
+    balances[candidate.m_service] += candidate.m_weight;
+    total += candidate.m_weight;
+    if (!chosen ||
+        balances[candidate.m_service] > balances[chosen->m_service]) {
+      chosen = &candidate;
     }
   }
   balances[chosen->m_service] -= total;
--- a/src/gateway/traffic_splitter.h
+++ b/src/gateway/traffic_splitter.h
@@ -8,15 +8,15 @@
 
 namespace foxtail {
 
-/// Distributes a route's requests over its parts in proportion to their
-/// weights, by smooth weighted round robin: exact also over few requests.
+/// Splits a route's requests between its weighted services by smooth weighted
+/// round robin, which keeps the proportions exact even over few requests.
 class TrafficSplitter {
  public:
-  /// Returns the service of the next request on a route.
+  /// Returns the service that receives the route's next request.
   const std::string& Choose(const RouteRow& route);
 
  private:
-  /// Per route, the balance of each service.
+  /// Current round-robin balance of each service, by route and service name.
   std::map<std::string, std::map<std::string, int64_t>> m_balances;
 };
 
