--- a/src/gateway/equal_share_limiter.h
+++ b/src/gateway/equal_share_limiter.h
@@ -8,9 +8,9 @@
 
 namespace foxtail {
 
-/// Limits each workspace to an equal share of its rate, with one token bucket a
-/// workspace and without communication. Suited to a host that is cut off from
-/// the leader, which issues the tokens in normal operation.
+/// Limits each workspace to an equal share of its rate, with one token bucket
+/// per workspace and without communication. Suited to a host that is cut off
+/// from the leader, which issues the tokens in normal operation.
 class EqualShareLimiter {
  public:
   /// Takes a token for a request from the workspace's bucket, which fills at
--- a/src/gateway/front_end.h
+++ b/src/gateway/front_end.h
@@ -27,9 +27,7 @@
 struct ForwardingMetadata {
   std::string m_server_id;
   std::string m_workspace;
-
-  /// Time left until the deadline.
-  Duration m_deadline{};
+  Duration m_time_left{};
 };
 
 /// The load that a backend server reports with a response, in requests.
--- a/src/gateway/rate_limiter.cc
+++ b/src/gateway/rate_limiter.cc
@@ -9,8 +9,8 @@
 
 using std::chrono::milliseconds;
 
-// The stock covers the demand of this time, so that it lasts until the response
-// to the report after the next.
+// Tokens are stocked for the demand of this period, so that they last until the
+// response to the report after the next.
 constexpr milliseconds kDemandHorizon{600};
 
 // For this long after the leader issued fewer tokens than requested, requests
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -334,10 +334,11 @@
   return &server->second;
 }
 
-// Queues the request at a server and waits until it may be sent. Returns false
-// if the snapshot changed and the target must be looked up again. A request
-// that cannot be served in time is refused at once; one that requests of higher
-// priority delay too long, as soon as it can no longer be sent in time.
+// Queues the request for a server and waits until the request may be sent.
+// Returns false if the snapshot changed and the target must be looked up again.
+// A request that cannot be served in time is refused at once. A queued request
+// that falls behind requests of higher priority is refused as soon as too
+// little time is left to send it.
 bool RequestHandler::WaitForTurn(RequestContext& context,
                                  const RoutedServer& server) {
   const SendServerId id = m_send_system.GetOrInsert(server, Clock::now());
@@ -384,7 +385,8 @@
   return can_send;
 }
 
-// Only the head of the queue can be sent, so no other request is woken.
+// Only the request at the head of the queue can be sent, so only that request
+// is woken.
 void RequestHandler::WakeQueueHead(SendServerId id) {
   if (const auto first = m_send_system.GetQueueHead(id)) {
     m_queued_events.at(first->m_ticket)->Notify();
--- a/src/gateway/request_log.cc
+++ b/src/gateway/request_log.cc
@@ -3,8 +3,8 @@
 namespace foxtail {
 namespace {
 
-// Limit for each kind of event. With it, ten hosts under the highest load write
-// about 2 MB of log a minute.
+// Limit for each kind of event. At this limit, ten hosts under the highest load
+// write about 2 MB of log a minute.
 constexpr uint32_t kMaxEventsPerWindow = 10;
 constexpr std::chrono::seconds kWindow{1};
 
