--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -65,7 +65,7 @@
       m_events(events) {
   m_tables.m_settings = settings.m_ownership;
   m_tables.m_self = {settings.m_internal, RandomToken(), settings.m_data_centre,
-                     ProcessorShareOf(settings)};
+                     ParseProcessorShare(settings)};
   m_watched = {{kOperatorRows, decoder.OperatorTable(),
                 &DirectorySystem::ApplyOperatorRows},
                {kServerRows, decoder.ServerTable(),
@@ -337,7 +337,7 @@
 void ControlThread::Execute(const GrantCommand& command) {
   const ServerCallOutcome outcome = m_server_control->Grant(
       command.m_address, command.m_keys, command.m_fence, command.m_grant_ttl,
-      command.m_handover, m_settings.m_ownership.m_order_timeout);
+      command.m_handover, m_settings.m_ownership.m_server_call_timeout);
   RangeGrantSystem::OnGranted(m_tables, command, outcome, ReadClocks());
 }
 
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -17,7 +17,7 @@
     {"listen", "FOXTAIL_GATEWAY_LISTEN", "text", 9, 64,
      "IP:PORT that clients connect to", &S::m_listen},
     {"ready", "FOXTAIL_GATEWAY_READY", "text", 9, 64,
-     "IP:PORT of the balancer's readiness check", &S::m_ready},
+     "IP:PORT for the load balancer's readiness check", &S::m_ready},
     {"internal", "FOXTAIL_GATEWAY_INTERNAL", "text", 9, 64,
      "IP:PORT for datagrams between daemons", &S::m_internal},
     {"metrics", "FOXTAIL_GATEWAY_METRICS", "text", 9, 64,
@@ -25,7 +25,7 @@
     {"store", "FOXTAIL_GATEWAY_STORE", "text", 9, 64,
      "IP:PORT of the platform's table store", &S::m_store},
     {"data-centre", "FOXTAIL_GATEWAY_DATA_CENTRE", "text", 1, 64,
-     "data centre this host stands in", &S::m_data_centre},
+     "data centre of this host", &S::m_data_centre},
     {"log-file", "FOXTAIL_GATEWAY_LOG_FILE", "text", 0, kTextLimit,
      "file for events; - means standard output", &S::m_log_file},
     {"access-lifetime", "FOXTAIL_GATEWAY_ACCESS_LIFETIME", "ms", 500, 60'000,
@@ -35,12 +35,13 @@
      "time between failing readiness and closing idle connections",
      &S::m_stop_delay},
     {"stop-timeout", "FOXTAIL_GATEWAY_STOP_TIMEOUT", "ms", 0, kTimeLimit,
-     "longest time of a planned stop", &S::m_stop_timeout},
+     "timeout of a graceful shutdown", &S::m_stop_timeout},
     {"connection-limit", "FOXTAIL_GATEWAY_CONNECTION_LIMIT", "connections", 1,
-     1'000'000, "connections of clients at once", &S::m_connection_limit},
+     1'000'000, "limit on simultaneous client connections",
+     &S::m_connection_limit},
     {"processor-share", "FOXTAIL_GATEWAY_PROCESSOR_SHARE", "cores", 1, 16,
-     "processor time of this host, a decimal number; hosts with more lead "
-     "first",
+     "processor time of this host, a decimal number; hosts with more become "
+     "leader first",
      &S::m_processor_share},
     {"retry-percent", "FOXTAIL_GATEWAY_RETRY_PERCENT", "percent", 0, 100,
      "retries for each hundred first attempts", &S::m_retry_percent},
@@ -48,7 +49,7 @@
 
 }  // namespace
 
-double ProcessorShareOf(const GatewaySettings& settings) {
+double ParseProcessorShare(const GatewaySettings& settings) {
   const std::string& text = settings.m_processor_share;
   double share = 0;
   const auto result =
--- /dev/null
+++ b/src/gateway/gateway_traffic_thread.cc
@@ -0,0 +1,190 @@
+#include "gateway/gateway_traffic_thread.h"
+
+#include <boost/fiber/operations.hpp>
+#include <cstdlib>
+
+#include "core/error.h"
+#include "runtime/fiber_scheduler.h"
+
+namespace foxtail {
+namespace {
+
+using std::chrono::milliseconds;
+
+// Interval between traffic summaries in the log.
+constexpr std::chrono::seconds kSummaryPeriod{5};
+
+// The readiness check and the metrics have few clients.
+constexpr size_t kMonitoringConnections = 16;
+
+HttpServerSettings MonitoringServerSettings() {
+  HttpServerSettings settings;
+  settings.m_connection_limit = kMonitoringConnections;
+  return settings;
+}
+
+}  // namespace
+
+GatewayTrafficThread::GatewayTrafficThread(const GatewaySettings& settings,
+                                           const FrontEnd& front_end,
+                                           EventLog& events)
+    : m_settings(settings),
+      m_front_end(front_end),
+      m_events(events),
+      m_request_log(events) {}
+
+GatewayTrafficThread::~GatewayTrafficThread() = default;
+
+void GatewayTrafficThread::Start(ControlThread& control) {
+  m_control = &control;
+  m_thread = std::thread([this] { Run(); });
+}
+
+void GatewayTrafficThread::Run() {
+  InstallFiberScheduler();
+  m_handler = std::make_unique<RequestHandler>(m_settings, m_front_end, *this,
+                                               m_request_log, m_metrics);
+  HttpServerSettings client_settings;
+  client_settings.m_connection_limit = m_settings.m_connection_limit;
+  try {
+    OpenListeners(client_settings);
+  } catch (const Error& failure) {
+    m_events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
+    std::quick_exit(EXIT_FAILURE);
+  }
+  m_client_server->Start();
+  m_readiness_server->Start();
+  m_metrics_server->Start();
+  m_handler->GetRateLimiter().SetOnTokensNeeded([this] {
+    m_report_pending = true;
+    m_report_triggered.Notify();
+  });
+  StartFiber([this] { ReportLoop(); });
+  StartFiber([this] { SummaryLoop(); });
+  m_mailbox.Loop();
+}
+
+void GatewayTrafficThread::OpenListeners(
+    const HttpServerSettings& client_settings) {
+  m_client_server = std::make_unique<HttpServer>(
+      ParseAddress(m_settings.m_listen), client_settings,
+      [this](HttpRequest& request) { return m_handler->Handle(request); });
+  m_readiness_server = std::make_unique<HttpServer>(
+      ParseAddress(m_settings.m_ready), MonitoringServerSettings(),
+      [this](HttpRequest&) { return BuildReadinessResponse(); });
+  m_metrics_server = std::make_unique<HttpServer>(
+      ParseAddress(m_settings.m_metrics), MonitoringServerSettings(),
+      [this](HttpRequest&) { return BuildMetricsResponse(); });
+}
+
+void GatewayTrafficThread::OnSnapshot(
+    std::shared_ptr<const RoutingSnapshot> snapshot) {
+  m_mailbox.Post([this, snapshot = std::move(snapshot)]() mutable {
+    m_handler->OnSnapshot(std::move(snapshot));
+    ApplyLimits();
+  });
+}
+
+void GatewayTrafficThread::ApplyLimits() {
+  const uint64_t version = m_handler->ConfigurationVersion();
+  if (version == m_limits_version || !m_handler->HasConfiguration()) {
+    return;
+  }
+  m_limits_version = version;
+  const RequestLimits& limits = m_handler->GetLimits();
+  HttpServerSettings settings;
+  settings.m_connection_limit = m_settings.m_connection_limit;
+  settings.m_header_limit = limits.m_header_limit;
+  settings.m_body_limit = limits.m_body_limit;
+  settings.m_read_timeout = limits.m_header_timeout;
+  settings.m_idle_timeout = limits.m_idle_timeout;
+  m_client_server->SetLimits(settings);
+}
+
+milliseconds GatewayTrafficThread::ConfigurationAge() const {
+  return std::chrono::duration_cast<milliseconds>(BootClock::now() -
+                                                  m_configuration_read_at);
+}
+
+bool GatewayTrafficThread::IsFresh() const {
+  return ConfigurationAge() < m_settings.m_access_lifetime;
+}
+
+HttpResponse GatewayTrafficThread::BuildReadinessResponse() const {
+  HttpResponse response;
+  const bool ready = !m_stopping && m_handler->HasConfiguration() && IsFresh();
+  response.m_status = ready ? 200 : 503;
+  return response;
+}
+
+HttpResponse GatewayTrafficThread::BuildMetricsResponse() const {
+  HttpResponse response;
+  response.m_headers.Set("Content-Type", "text/plain; version=0.0.4");
+  response.m_body = m_metrics.Text() + "foxtail_configuration_version " +
+                    std::to_string(m_handler->ConfigurationVersion()) +
+                    "\nfoxtail_configuration_age_ms " +
+                    std::to_string(ConfigurationAge().count()) +
+                    "\nfoxtail_in_flight " +
+                    std::to_string(m_handler->CountInFlight()) + "\n";
+  return response;
+}
+
+void GatewayTrafficThread::OnFreshness(BootTime configuration_read_at) {
+  m_mailbox.Post([this, configuration_read_at] {
+    m_configuration_read_at = configuration_read_at;
+  });
+}
+
+void GatewayTrafficThread::OnLeaderTokens(LeaderTokens tokens) {
+  m_mailbox.Post([this, tokens = std::move(tokens)] {
+    m_handler->GetRateLimiter().OnLeaderTokens(tokens);
+  });
+}
+
+// Reports periodically, and sooner when requests wait for tokens.
+void GatewayTrafficThread::ReportLoop() {
+  const OwnershipSettings& settings = m_settings.m_ownership;
+  TimePoint next_load_report_at = Clock::now() + settings.m_load_report_period;
+  while (!m_stopped) {
+    if (!std::exchange(m_report_pending, false)) {
+      m_report_triggered.WaitUntil(Clock::now() + settings.m_report_period);
+      m_report_pending = false;
+    }
+    const TimePoint now = Clock::now();
+    const bool with_loads = now >= next_load_report_at;
+    if (with_loads) {
+      next_load_report_at = now + settings.m_load_report_period;
+    }
+    m_control->Report(m_handler->CollectReport(now, with_loads));
+    boost::this_fiber::sleep_for(settings.m_min_report_interval);
+  }
+}
+
+void GatewayTrafficThread::SummaryLoop() {
+  while (!m_stopped) {
+    boost::this_fiber::sleep_for(kSummaryPeriod);
+    m_handler->Expire(Clock::now());
+    m_request_log.LogSummary(m_handler->CountInFlight(), ConfigurationAge(),
+                             m_handler->ConfigurationVersion());
+  }
+}
+
+bool GatewayTrafficThread::Stop() {
+  return m_mailbox.Call([this] { return StopServers(); });
+}
+
+// The load balancer stops sending new connections only after its checks have
+// failed; until then new connections are served.
+bool GatewayTrafficThread::StopServers() {
+  const TimePoint deadline = Clock::now() + m_settings.m_stop_timeout;
+  m_stopping = true;
+  m_client_server->StartDraining();
+  boost::this_fiber::sleep_for(m_settings.m_stop_delay);
+  const bool clean = m_client_server->Stop(deadline - Clock::now());
+  m_readiness_server->Stop(Duration(0));
+  m_metrics_server->Stop(Duration(0));
+  m_stopped = true;
+  return clean;
+}
+
+}  // namespace foxtail
--- /dev/null
+++ b/src/gateway/gateway_traffic_thread.h
@@ -0,0 +1,67 @@
+#pragma once
+
+#include <atomic>
+#include <memory>
+#include <thread>
+
+#include "gateway/control_thread.h"
+#include "gateway/request_handler.h"
+#include "runtime/http_server.h"
+#include "runtime/mailbox.h"
+
+namespace foxtail {
+
+/// The traffic thread of a gateway: serves clients' connections, the readiness
+/// check and the metrics.
+class GatewayTrafficThread : public ControlListener, public AccessFreshness {
+ public:
+  GatewayTrafficThread(const GatewaySettings& settings,
+                       const FrontEnd& front_end,
+                       EventLog& events);
+  ~GatewayTrafficThread() override;
+
+  /// Starts the thread. `control` receives its reports and must outlive it.
+  void Start(ControlThread& control);
+
+  /// Shuts down gracefully: readiness checks fail, requests on open connections
+  /// are completed, then the connections are closed. Returns false if a
+  /// connection had to be cut off. The thread runs until the process ends.
+  bool Stop();
+
+  void OnSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot) override;
+  void OnFreshness(BootTime configuration_read_at) override;
+  void OnLeaderTokens(LeaderTokens tokens) override;
+  bool IsFresh() const override;
+
+ private:
+  void Run();
+  void OpenListeners(const HttpServerSettings& client_settings);
+  bool StopServers();
+  void ReportLoop();
+  void SummaryLoop();
+  HttpResponse BuildReadinessResponse() const;
+  HttpResponse BuildMetricsResponse() const;
+  std::chrono::milliseconds ConfigurationAge() const;
+  void ApplyLimits();
+
+  const GatewaySettings& m_settings;
+  const FrontEnd& m_front_end;
+  EventLog& m_events;
+  ControlThread* m_control = nullptr;
+  Metrics m_metrics;
+  RequestLog m_request_log;
+  std::unique_ptr<RequestHandler> m_handler;
+  std::unique_ptr<HttpServer> m_client_server;
+  std::unique_ptr<HttpServer> m_readiness_server;
+  std::unique_ptr<HttpServer> m_metrics_server;
+  Mailbox m_mailbox;
+  FiberEvent m_report_triggered;
+  bool m_report_pending = false;
+  uint64_t m_limits_version = 0;
+  BootTime m_configuration_read_at;
+  bool m_stopping = false;
+  bool m_stopped = false;
+  std::thread m_thread;
+};
+
+}  // namespace foxtail
--- a/src/gateway/leadership_system.cc
+++ b/src/gateway/leadership_system.cc
@@ -58,7 +58,7 @@
   LeaderLeaseState& lease = tables.m_leader_lease;
   lease.m_phase = LeaderLeasePhase::kLeader;
   lease.m_outage_ttl_active = false;
-  tables.m_tokens.emplace(tables.m_settings.m_token_lifetime);
+  tables.m_tokens.emplace(tables.m_settings.m_outstanding_token_ttl);
   tables.m_tokens->Begin(now.m_steady);
   lease.m_last_fence = lease.m_record.m_epoch << kFenceBits;
   tables.m_events.push_back(
@@ -118,7 +118,8 @@
   const LeaderLeaseState& lease = tables.m_leader_lease;
   return lease.m_row_version == 0 || lease.m_record.m_released ||
          lease.m_record.m_address == tables.m_self.m_address ||
-         now.m_steady - lease.m_unchanged_since >= tables.m_settings.m_lead_ttl;
+         now.m_steady - lease.m_unchanged_since >=
+             tables.m_settings.m_leader_lease_ttl;
 }
 
 void RunFollower(GatewayTables& tables, const Now& now) {
@@ -132,9 +133,9 @@
   }
   const Duration rank_delay =
       RankOfSelf(tables) * tables.m_settings.m_rank_delay;
-  const TimePoint leader_silent_at = lease.m_leader_last_heard_at +
-                                     tables.m_settings.m_leader_silence +
-                                     rank_delay;
+  const TimePoint leader_silent_at =
+      lease.m_leader_last_heard_at +
+      tables.m_settings.m_leader_silence_timeout + rank_delay;
   if (lease.m_row_loaded && now.m_steady < leader_silent_at) {
     tables.WakeAt(leader_silent_at);
     return;
@@ -183,9 +184,11 @@
   LeaderLeaseState& lease = tables.m_leader_lease;
   const OwnershipSettings& settings = tables.m_settings;
   lease.m_write_outcome_unknown = false;
-  lease.m_authority_until =
-      lease.m_pending_sent_at + settings.m_lead_ttl - settings.m_lead_margin;
-  lease.m_next_store_call_at = now.m_steady + settings.m_lead_renewal;
+  lease.m_authority_until = lease.m_pending_sent_at +
+                            settings.m_leader_lease_ttl -
+                            settings.m_leader_lease_margin;
+  lease.m_next_store_call_at =
+      now.m_steady + settings.m_leader_lease_renew_period;
   if (lease.m_pending_record.m_released) {
     StopLeading(tables, EventNumber::kControlLeaseReleased, now);
   } else if (lease.m_phase == LeaderLeasePhase::kAcquiring) {
@@ -211,7 +214,8 @@
                               const Now& now) {
   LeaderLeaseState& lease = tables.m_leader_lease;
   lease.m_call_in_flight = false;
-  lease.m_next_store_call_at = now.m_steady + tables.m_settings.m_lead_read;
+  lease.m_next_store_call_at =
+      now.m_steady + tables.m_settings.m_leader_lease_read_period;
   if (result.m_outcome != StoreOutcome::kDone) {
     return;
   }
@@ -258,7 +262,8 @@
     OnWriteConfirmed(tables, now);
     return;
   }
-  lease.m_next_store_call_at = now.m_steady + tables.m_settings.m_store_retry;
+  lease.m_next_store_call_at =
+      now.m_steady + tables.m_settings.m_store_retry_delay;
   // After a version mismatch, either another process wrote the row or an
   // earlier write of this process took effect late. Without a response the
   // write may still take effect. Reading the row settles it.
--- a/src/gateway/member_system.cc
+++ b/src/gateway/member_system.cc
@@ -44,7 +44,7 @@
       member.m_last_heard_at = now.m_steady;  // a new leader has no reports yet
     }
     const TimePoint deregister_at =
-        member.m_last_heard_at + tables.m_settings.m_member_silence;
+        member.m_last_heard_at + tables.m_settings.m_member_silence_timeout;
     if (now.m_steady < deregister_at) {
       tables.WakeAt(deregister_at);
       return;
@@ -62,7 +62,7 @@
   size_t reporting = 0;
   tables.m_members.ForEach([&](MemberId, const MemberRow& member) {
     const Duration silence = now.m_steady - member.m_last_heard_at;
-    reporting += silence < tables.m_settings.m_unheard_after ? 1 : 0;
+    reporting += silence < tables.m_settings.m_contact_silence_timeout ? 1 : 0;
   });
   const size_t registered = std::max<size_t>(1, tables.m_members.size());
   return static_cast<double>(reporting) / static_cast<double>(registered);
@@ -72,7 +72,7 @@
                           const MemberReport& report,
                           const Now& now) {
   TokenResponse response;
-  response.m_lifetime = tables.m_settings.m_token_life;
+  response.m_lifetime = tables.m_settings.m_token_ttl;
   if (!tables.m_routes) {
     return response;
   }
@@ -143,7 +143,8 @@
     return;  // the removal of a silent member arrives through the watch
   }
   tables.m_self_write_in_flight = false;
-  tables.m_next_self_write_at = now.m_steady + tables.m_settings.m_store_retry;
+  tables.m_next_self_write_at =
+      now.m_steady + tables.m_settings.m_store_retry_delay;
   if (result.m_outcome == StoreOutcome::kDone) {
     tables.m_self_registered = write.m_value.has_value();
     tables.m_self_row_version = result.m_version;
@@ -215,7 +216,8 @@
   RecordLeaderProgress(tables, response, now);
   tables.m_relayed_until = TimePoint();
   if (response.m_relaying) {
-    tables.m_relayed_until = now.m_steady + tables.m_settings.m_relay_silence;
+    tables.m_relayed_until =
+        now.m_steady + tables.m_settings.m_relay_silence_timeout;
     // The rows come from the leader, so the leader's contact with the store is
     // the one that matters.
     tables.m_servers_contact_since =
--- a/src/gateway/owners_system.cc
+++ b/src/gateway/owners_system.cc
@@ -28,8 +28,9 @@
   const OwnershipSettings& settings = tables.m_settings;
   // All grants of the preceding leader have expired by this time.
   const TimePoint granted_until =
-      now.m_steady + std::chrono::duration_cast<Duration>(
-                         settings.m_outage_hold * (1 + settings.m_clock_drift));
+      now.m_steady +
+      std::chrono::duration_cast<Duration>(settings.m_outage_grant_ttl *
+                                           (1 + settings.m_clock_drift));
   for (const OwnedRange& owned : record.m_ranges) {
     RangeRow row;
     row.m_service = id;
@@ -128,7 +129,7 @@
   }
   service->m_call_in_flight = false;
   service->m_next_store_call_at =
-      now.m_steady + tables.m_settings.m_store_retry;
+      now.m_steady + tables.m_settings.m_store_retry_delay;
   if (result.m_outcome != StoreOutcome::kDone) {
     return;
   }
@@ -184,7 +185,7 @@
       result.m_outcome == StoreOutcome::kMismatch ||
       result.m_outcome == StoreOutcome::kUnknown;
   service->m_next_store_call_at =
-      now.m_steady + tables.m_settings.m_store_retry;
+      now.m_steady + tables.m_settings.m_store_retry_delay;
 }
 
 }  // namespace foxtail
--- a/src/gateway/range_grant_system.cc
+++ b/src/gateway/range_grant_system.cc
@@ -26,14 +26,14 @@
                      const Now& now) {
   const OwnershipSettings& settings = tables.m_settings;
   const Duration ttl = tables.m_leader_lease.m_outage_ttl_active
-                           ? settings.m_outage_hold
+                           ? settings.m_outage_grant_ttl
                            : settings.m_grant_ttl;
   if (server.m_consecutive_failures == 0 ||
       row.m_phase == RangePhase::kGranting) {
     return ttl;
   }
   const Duration left =
-      row.m_granted_until - now.m_steady - settings.m_order_timeout;
+      row.m_granted_until - now.m_steady - settings.m_server_call_timeout;
   return std::min(ttl, std::chrono::duration_cast<Duration>(
                            left / (1 + settings.m_clock_drift)));
 }
@@ -46,16 +46,17 @@
   const ServerRow* server = FindServer(tables, row.m_owner);
   const Duration ttl =
       server ? GrantTtlFor(tables, *server, row, now) : Duration();
-  if (ttl < settings.m_shortest_hold) {
-    row.m_next_server_call_at = now.m_steady + settings.m_order_retry;
+  if (ttl < settings.m_min_grant_ttl) {
+    row.m_next_server_call_at =
+        now.m_steady + settings.m_server_call_retry_delay;
     return;
   }
   // The TTL counts from the arrival of the call at the server, which is no
   // later than the timeout of the call.
   row.m_prior_granted_until = row.m_granted_until;
-  row.m_granted_until =
-      std::max(row.m_granted_until, now.m_steady + settings.m_order_timeout +
-                                        AddClockDrift(settings, ttl));
+  row.m_granted_until = std::max(row.m_granted_until,
+                                 now.m_steady + settings.m_server_call_timeout +
+                                     AddClockDrift(settings, ttl));
   row.m_call_in_flight = true;
   row.m_may_be_granted = true;
   if (row.m_fenced_server == row.m_owner) {
@@ -81,7 +82,7 @@
   row.m_fence = ++tables.m_leader_lease.m_last_fence;
   tables.m_outbox.emplace_back(
       GrantCommand{id, previous.m_id, previous.m_address, row.m_range, fence,
-                   tables.m_settings.m_fencing_hold, ""});
+                   tables.m_settings.m_fencing_grant_ttl, ""});
 }
 
 void ReleasePreviousOwner(GatewayTables& tables,
@@ -98,8 +99,9 @@
   const ServerRow* previous = FindServer(tables, row.m_previous_owners.back());
   const OwnershipSettings& settings = tables.m_settings;
   // A call whose effect could last beyond the expiry would delay the move.
-  const Duration max_effect = settings.m_order_timeout +
-                              AddClockDrift(settings, settings.m_fencing_hold);
+  const Duration max_effect =
+      settings.m_server_call_timeout +
+      AddClockDrift(settings, settings.m_fencing_grant_ttl);
   if (!previous || row.m_granted_until - now.m_steady < max_effect) {
     row.m_next_server_call_at = row.m_granted_until;
     return;
@@ -111,8 +113,8 @@
     FencePreviousOwner(tables, id, row, entry);
     return;
   }
-  const Duration timeout =
-      std::min(settings.m_release_timeout, row.m_granted_until - now.m_steady);
+  const Duration timeout = std::min(settings.m_release_call_timeout,
+                                    row.m_granted_until - now.m_steady);
   // Servers accept a release with any fencing token.
   tables.m_outbox.emplace_back(ReleaseCommand{
       id, entry.m_id, entry.m_address, row.m_range, row.m_fence, timeout});
@@ -217,7 +219,7 @@
   if (!service.m_dirty) {
     service.m_next_store_call_at =
         std::max(service.m_next_store_call_at,
-                 now.m_steady + tables.m_settings.m_settle_gather);
+                 now.m_steady + tables.m_settings.m_confirmation_batch_delay);
   }
   service.m_dirty = true;
   row.m_phase = RangePhase::kStable;
@@ -239,7 +241,7 @@
                            const Now& now) {
   const bool fenced = outcome == ServerCallOutcome::kDone;
   row.m_next_server_call_at =
-      now.m_steady + (fenced ? Duration() : settings.m_order_retry);
+      now.m_steady + (fenced ? Duration() : settings.m_server_call_retry_delay);
   if (fenced) {
     row.m_fenced_server = command.m_server;
   }
@@ -286,7 +288,8 @@
     return;
   }
   if (outcome != ServerCallOutcome::kDone) {
-    row->m_next_server_call_at = now.m_steady + settings.m_order_retry;
+    row->m_next_server_call_at =
+        now.m_steady + settings.m_server_call_retry_delay;
     tables.m_events.push_back({EventNumber::kOrderFailed,
                                {{"order", "grant"},
                                 {"server", command.m_server},
@@ -306,7 +309,7 @@
   row->m_granted_until =
       std::max(row->m_prior_granted_until,
                now.m_steady + AddClockDrift(settings, command.m_grant_ttl));
-  row->m_next_server_call_at = now.m_steady + settings.m_renewal;
+  row->m_next_server_call_at = now.m_steady + settings.m_grant_renew_period;
   if (row->m_phase == RangePhase::kGranting) {
     ConfirmGrant(tables, *row, now);
   }
@@ -322,7 +325,8 @@
     return;
   }
   row->m_call_in_flight = false;
-  row->m_next_server_call_at = now.m_steady + tables.m_settings.m_order_retry;
+  row->m_next_server_call_at =
+      now.m_steady + tables.m_settings.m_server_call_retry_delay;
   if (outcome == ServerCallOutcome::kDone) {
     row->m_handover = handover.empty() ? row->m_handover : handover;
     std::erase(row->m_previous_owners, command.m_server);
--- a/src/gateway/range_placement_system.cc
+++ b/src/gateway/range_placement_system.cc
@@ -266,7 +266,8 @@
       tables.WakeAt(service.m_next_rebalance_at);
       return;
     }
-    service.m_next_rebalance_at = now.m_steady + tables.m_settings.m_rebalance;
+    service.m_next_rebalance_at =
+        now.m_steady + tables.m_settings.m_rebalance_interval;
     plan = rebalance.Plan(ranges.m_planned, servers, weights);
   }
   if (plan != ranges.m_planned) {
@@ -285,12 +286,12 @@
   }
   return server->m_consecutive_failures == 0 ||
          now.m_steady - server->m_failing_since <
-             tables.m_settings.m_unreachable_after;
+             tables.m_settings.m_server_unreachable_timeout;
 }
 
 void RangePlacementSystem::Run(GatewayTables& tables, const Now& now) {
-  const TimePoint grace_ends_at =
-      tables.m_servers_contact_since + tables.m_settings.m_gather;
+  const TimePoint grace_ends_at = tables.m_servers_contact_since +
+                                  tables.m_settings.m_registration_grace_period;
   if (!tables.m_servers_loaded || !tables.IsLeading(now)) {
     return;
   }
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -431,7 +431,7 @@
   size_t routed = 0;
   for (const FakeHost& host : m_hosts) {
     const auto snapshot = BuildSnapshot(host.m_tables);
-    const RoutedPlaces* endpoints = snapshot->FindPlaces(kService);
+    const ServiceEndpoints* endpoints = snapshot->FindEndpoints(kService);
     const RoutedRange* range =
         endpoints ? endpoints->FindRange(sample * kKeysPerSample) : nullptr;
     for (size_t server = 0; server < m_servers.size(); ++server) {
