--- a/src/apps/foxtail_entry.cc
+++ b/src/apps/foxtail_entry.cc
@@ -42,14 +42,14 @@
 void LetGoOfLeases(const EntrySettings& settings,
                    EntryControl& control,
                    Threads& threads) {
-  control.Leave();
+  control.BeginShutdown();
   const TimePoint until = Clock::now() + settings.m_stop_timeout;
   size_t held = 1;
   while (held > 0 && Clock::now() < until) {
     boost::this_fiber::sleep_for(kStopPollPeriod);
     held = 0;
     for (auto& thread : threads) {
-      held += thread->CountHeld();
+      held += thread->CountUnreleased();
     }
   }
   // The controllers give the leases on once they know that all is let go.
@@ -86,7 +86,7 @@
     threads.push_back(std::make_unique<TrafficThread>(
         settings, i, events,
         [&control](uint32_t thread, const std::string& cell) {
-          control.Kick(thread, cell);
+          control.TriggerReport(thread, cell);
         }));
   }
   for (auto& thread : threads) {
--- a/src/control/token_system.h
+++ b/src/control/token_system.h
@@ -3,7 +3,7 @@
 #include <optional>
 
 #include "control/control_messages.h"
-#include "traffic/token_holder.h"
+#include "traffic/token_issuer.h"
 
 namespace foxtail {
 
@@ -16,7 +16,7 @@
 
  private:
   uint64_t m_epoch = 0;
-  std::optional<TokenHolder> m_holder;
+  std::optional<TokenIssuer> m_holder;
 };
 
 }  // namespace foxtail
--- a/src/entry/caller_handler.h
+++ b/src/entry/client_handler.h
@@ -25,17 +25,17 @@
 
 /// Answers callers: authenticates, limits, routes, forwards and retries one
 /// request at a time on its own fiber.
-class CallerHandler {
+class ClientHandler {
  public:
-  /// `self` is the internal address of this thread; requests for it are not
-  /// sent over the network.
-  CallerHandler(const EntrySettings& settings,
-                std::string self,
+  /// `self_address` is the internal address of this thread; requests for it are
+  /// not sent over the network.
+  ClientHandler(const EntrySettings& settings,
+                std::string self_address,
                 DispatchSystem& system,
                 Dispatcher& dispatcher,
                 TokenClient& tokens,
                 const AccessState& access,
-                FiberEvent& changed,
+                FiberEvent& state_changed,
                 EventLog& events,
                 Metrics& metrics);
 
@@ -43,32 +43,34 @@
   HttpResponse Handle(HttpRequest& request);
 
  private:
-  struct Call;
+  struct RequestContext;
 
-  HttpResponse Run(HttpRequest& request, Call& call);
-  void Resolve(const HttpRequest& request, Call& call);
-  void Authorize(const HttpRequest& request, Call& call);
-  void ReadIdentity(const HttpRequest& request, Call& call);
-  HttpResponse Forward(const HttpRequest& request, Call& call);
-  bool ChooseDispatcher(Call& call) const;
-  HttpResponse Attempt(const HttpRequest& request, const Call& call);
-  HttpResponse SendToDispatcher(const HttpRequest& request, const Call& call);
-  bool MayRetry(const Error& error, const Call& call);
-  void Pause(Call& call);
-  void Note(const Call& call, const Error& error);
+  HttpResponse Process(HttpRequest& request, RequestContext& context);
+  void ResolveRoute(const HttpRequest& request, RequestContext& context);
+  void Authorize(const HttpRequest& request, RequestContext& context);
+  void ReadRequestHeaders(const HttpRequest& request, RequestContext& context);
+  HttpResponse Forward(const HttpRequest& request, RequestContext& context);
+  bool ChooseDispatcher(RequestContext& context) const;
+  HttpResponse Attempt(const HttpRequest& request,
+                       const RequestContext& context);
+  HttpResponse SendToDispatcher(const HttpRequest& request,
+                                const RequestContext& context);
+  bool MayRetry(const Error& error, const RequestContext& context);
+  void BackOff(RequestContext& context);
+  void RecordFailure(const RequestContext& context, const Error& error);
 
   const EntrySettings& m_settings;
-  std::string m_self;
+  std::string m_self_address;
   DispatchSystem& m_system;
   Dispatcher& m_dispatcher;
   TokenClient& m_tokens;
   const AccessState& m_access;
-  FiberEvent& m_changed;
+  FiberEvent& m_state_changed;
   EventLog& m_events;
   Metrics& m_metrics;
   HttpClient m_client;
-  RetryBudget m_retries;
-  std::minstd_rand m_random;
+  RetryBudget m_retry_budget;
+  std::minstd_rand m_jitter_source;
 };
 
 }  // namespace foxtail
--- a/src/entry/controller_finder.cc
+++ b/src/entry/controller_finder.cc
@@ -7,54 +7,55 @@
 namespace {
 
 // A process that did not answer is asked again after this time.
-constexpr std::chrono::milliseconds kAvoidTime{1500};
+constexpr std::chrono::milliseconds kAvoidancePeriod{1500};
 
 }  // namespace
 
-ControllerFinder::ControllerFinder(std::vector<std::string> controls)
-    : m_controls(std::move(controls)) {
-  assert(!m_controls.empty());
-  m_current = m_controls.front();
+ControllerFinder::ControllerFinder(std::vector<std::string> control_processes)
+    : m_control_processes(std::move(control_processes)) {
+  assert(!m_control_processes.empty());
+  m_current = m_control_processes.front();
 }
 
-bool ControllerFinder::IsAvoided(const std::string& control,
+bool ControllerFinder::IsAvoided(const std::string& address,
                                  TimePoint now) const {
-  const auto found = m_avoid_until.find(control);
+  const auto found = m_avoid_until.find(address);
   return found != m_avoid_until.end() && now < found->second;
 }
 
-void ControllerFinder::OnNoAnswer(TimePoint now) {
-  m_avoid_until[m_current] = now + kAvoidTime;
-  Next(now);
+void ControllerFinder::OnNoResponse(TimePoint now) {
+  m_avoid_until[m_current] = now + kAvoidancePeriod;
+  SelectNext(now);
 }
 
 // Hints are old just after a loss: they name the process that was lost.
 void ControllerFinder::OnNotController(const std::string& hint, TimePoint now) {
-  const bool known = std::ranges::find(m_controls, hint) != m_controls.end();
+  const bool known =
+      std::ranges::find(m_control_processes, hint) != m_control_processes.end();
   if (known && hint != m_current && !IsAvoided(hint, now)) {
     m_current = hint;
-    ++m_asked;
+    ++m_tried;
     return;
   }
-  Next(now);
+  SelectNext(now);
 }
 
-void ControllerFinder::Next(TimePoint now) {
-  for (size_t i = 0; i < m_controls.size(); ++i) {
-    m_index = (m_index + 1) % m_controls.size();
-    ++m_asked;
-    if (!IsAvoided(m_controls[m_index], now)) {
+void ControllerFinder::SelectNext(TimePoint now) {
+  for (size_t i = 0; i < m_control_processes.size(); ++i) {
+    m_index = (m_index + 1) % m_control_processes.size();
+    ++m_tried;
+    if (!IsAvoided(m_control_processes[m_index], now)) {
       break;
     }
   }
-  m_current = m_controls[m_index];
+  m_current = m_control_processes[m_index];
 }
 
-bool ControllerFinder::TakePause() {
-  if (m_asked < m_controls.size()) {
+bool ControllerFinder::TakeBackoff() {
+  if (m_tried < m_control_processes.size()) {
     return false;
   }
-  m_asked = 0;
+  m_tried = 0;
   return true;
 }
 
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -9,16 +9,17 @@
 
 constexpr const char* kInstanceHeader = "x-server-instance";
 
-SendOutcome OutcomeOf(const ExchangeResult& result) {
+SendOutcome ClassifyExchange(const ExchangeResult& result) {
   if (!result.m_ok) {
     if (result.m_progress == ExchangeProgress::kNothingSent) {
       return SendOutcome::kNotSent;
     }
-    return result.m_timed_out ? SendOutcome::kTimedOut : SendOutcome::kLost;
+    return result.m_timed_out ? SendOutcome::kTimedOut
+                              : SendOutcome::kConnectionLost;
   }
   const auto execution = result.m_response.m_headers.Get(kExecutionHeader);
   return execution == NameOf(Execution::kNotRun) ? SendOutcome::kRefused
-                                                 : SendOutcome::kAnswered;
+                                                 : SendOutcome::kResponded;
 }
 
 }  // namespace
@@ -26,11 +27,11 @@
 Dispatcher::Dispatcher(DispatchSystem& system,
                        EventLog& events,
                        Metrics& metrics,
-                       std::function<void(const std::string&)> kick)
+                       std::function<void(const std::string&)> trigger_report)
     : m_system(system),
       m_events(events),
       m_metrics(metrics),
-      m_kick(std::move(kick)) {}
+      m_trigger_report(std::move(trigger_report)) {}
 
 HttpResponse Dispatcher::Dispatch(const DispatchQuery& query,
                                   const HttpRequest& request) {
@@ -38,9 +39,9 @@
   const DispatchServerId server = m_system.Admit(query, ticket, ReadClocks());
   WaitForSlot(query, server, ticket);
   if (!m_system.MaySend(query, server, Clock::now())) {
-    m_system.GiveSlot(server);
+    m_system.ReleaseSlot(server);
     m_system.Abandon(query, server, ticket);
-    Pump(server);
+    DispatchWaiting(server);
     throw Error(ErrorCode::kNotDispatcher, query.m_cell);
   }
   return Send(query, server, request);
@@ -49,20 +50,20 @@
 void Dispatcher::WaitForSlot(const DispatchQuery& query,
                              DispatchServerId server,
                              TicketNumber ticket) {
-  Waiting waiting;
+  WaitingRequest waiting;
   waiting.m_query = &query;
   waiting.m_server = server;
   m_waiting.emplace(ticket, &waiting);
-  Pump(server);
-  while (!waiting.m_granted && !waiting.m_bounced &&
+  DispatchWaiting(server);
+  while (!waiting.m_slot_granted && !waiting.m_rejected &&
          Clock::now() < query.m_deadline) {
-    waiting.m_event.WaitUntil(query.m_deadline);
+    waiting.m_wakeup.WaitUntil(query.m_deadline);
   }
   m_waiting.erase(ticket);
-  if (waiting.m_granted) {
+  if (waiting.m_slot_granted) {
     return;
   }
-  if (waiting.m_bounced) {
+  if (waiting.m_rejected) {
     throw Error(ErrorCode::kNotDispatcher, query.m_cell);
   }
   m_system.Abandon(query, server, ticket);
@@ -70,26 +71,26 @@
               "while waiting for a slot");
 }
 
-void Dispatcher::Pump(DispatchServerId server) {
-  while (const auto slot = m_system.TakeSlot(server)) {
-    Waiting& waiting = *m_waiting.at(slot->m_ticket);
-    waiting.m_granted = true;
-    waiting.m_event.Notify();
+void Dispatcher::DispatchWaiting(DispatchServerId server) {
+  while (const auto slot = m_system.AcquireSlot(server)) {
+    WaitingRequest& waiting = *m_waiting.at(slot->m_ticket);
+    waiting.m_slot_granted = true;
+    waiting.m_wakeup.Notify();
   }
 }
 
-void Dispatcher::PumpAll() {
+void Dispatcher::DispatchAllWaiting() {
   m_system.GetTables().m_servers.ForEach(
-      [&](DispatchServerId id, auto&) { Pump(id); });
+      [&](DispatchServerId id, auto&) { DispatchWaiting(id); });
 }
 
-void Dispatcher::BounceWaiting() {
+void Dispatcher::RejectUnsendable() {
   const TimePoint now = Clock::now();
   for (auto& [ticket, waiting] : m_waiting) {
-    if (!waiting->m_granted && !waiting->m_bounced &&
+    if (!waiting->m_slot_granted && !waiting->m_rejected &&
         !m_system.MaySend(*waiting->m_query, waiting->m_server, now)) {
-      waiting->m_bounced = true;
-      waiting->m_event.Notify();
+      waiting->m_rejected = true;
+      waiting->m_wakeup.Notify();
       // It must not be given a slot before its fiber runs.
       m_system.Abandon(*waiting->m_query, waiting->m_server, ticket);
     }
@@ -103,46 +104,46 @@
   const InFlightId in_flight = m_system.Begin(query, server);
   const TimePoint start = Clock::now();
   const HttpRequest outgoing =
-      BackendRequest(request, query, target->m_epoch, ReadClocks());
+      BuildBackendRequest(request, query, target->m_epoch, ReadClocks());
   ExchangeResult result =
       m_client.Exchange(ParseAddress(target->m_address), outgoing,
                         query.m_deadline, {.m_before_send = [&] {
                           return m_system.MaySend(query, server, Clock::now());
                         }});
-  const SendOutcome outcome = OutcomeOf(result);
+  const SendOutcome outcome = ClassifyExchange(result);
   const TimePoint end = Clock::now();
   const std::string name = m_system.GetTables().m_servers.Get(server).m_name;
   m_metrics.Observe("foxtail_server_seconds", "server", name, end - start);
   const bool drained = m_system.End(
       query, in_flight, outcome,
       result.m_response.m_headers.GetOr(kInstanceHeader, ""), end - start, end);
-  Pump(server);
-  if (drained || outcome == SendOutcome::kLost ||
+  DispatchWaiting(server);
+  if (drained || outcome == SendOutcome::kConnectionLost ||
       outcome == SendOutcome::kNotSent) {
-    m_kick(query.m_cell);
+    m_trigger_report(query.m_cell);
   }
-  if (outcome == SendOutcome::kLost) {
+  if (outcome == SendOutcome::kConnectionLost) {
     m_events.Write(EventNumber::kRequestSuspected,
                    {{"cell", query.m_cell},
                     {"server", name},
                     {"request", query.m_id.m_text},
                     {"fingerprint", std::to_string(query.m_fingerprint)}});
   }
-  return Conclude(query, outcome, result);
+  return BuildResponse(query, outcome, result);
 }
 
 // The one place that decides what a caller is told about execution.
-HttpResponse Dispatcher::Conclude(const DispatchQuery& query,
-                                  SendOutcome outcome,
-                                  ExchangeResult& result) {
+HttpResponse Dispatcher::BuildResponse(const DispatchQuery& query,
+                                       SendOutcome outcome,
+                                       ExchangeResult& result) {
   switch (outcome) {
-    case SendOutcome::kAnswered:
-      return CallerResponse(std::move(result.m_response));
+    case SendOutcome::kResponded:
+      return BuildClientResponse(std::move(result.m_response));
     case SendOutcome::kRefused:
       throw Error(ErrorCode::kServerRefused, query.m_cell);
     case SendOutcome::kNotSent:
       throw Error(ErrorCode::kNetwork, Execution::kNotRun, query.m_cell);
-    case SendOutcome::kLost:
+    case SendOutcome::kConnectionLost:
       throw Error(ErrorCode::kServerLost, query.m_cell);
     case SendOutcome::kTimedOut:
       break;
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -16,7 +16,7 @@
 
 // Longer than a controller holds a request for news.
 constexpr milliseconds kSyncTimeout{350};
-constexpr milliseconds kRetryPause{20};
+constexpr milliseconds kRetryDelay{20};
 
 }  // namespace
 
@@ -26,92 +26,93 @@
     : m_settings(settings),
       m_events(events),
       m_threads(threads),
-      m_controls(ParseAddressList(settings.m_control)) {}
+      m_control_processes(ParseAddressList(settings.m_control)) {}
 
 void EntryControl::Start() {
   for (uint32_t i = 0; i < m_threads.size(); ++i) {
-    StartLink(i, kAccessCell);
+    StartReporter(i, kAccessCell);
   }
 }
 
-void EntryControl::StartLink(uint32_t thread, const std::string& cell) {
-  auto& link = m_links[{thread, cell}];
-  if (link) {
+void EntryControl::StartReporter(uint32_t thread, const std::string& cell) {
+  auto& reporter = m_reporters[{thread, cell}];
+  if (reporter) {
     return;
   }
-  link = std::make_unique<Link>(thread, cell, m_controls);
-  StartFiber([this, link = link.get()] { RunLink(*link); });
+  reporter = std::make_unique<Reporter>(thread, cell, m_control_processes);
+  StartFiber([this, reporter = reporter.get()] { RunReportLoop(*reporter); });
 }
 
-void EntryControl::RunLink(Link& link) {
-  ++m_running;
+void EntryControl::RunReportLoop(Reporter& reporter) {
+  ++m_running_fibers;
   while (!m_stopping) {
-    if (!Exchange(link) && link.m_finder.TakePause()) {
-      boost::this_fiber::sleep_for(kRetryPause);
+    if (!SendReport(reporter) && reporter.m_finder.TakeBackoff()) {
+      boost::this_fiber::sleep_for(kRetryDelay);
     }
   }
-  --m_running;
+  --m_running_fibers;
 }
 
-void EntryControl::Kick(uint32_t thread, const std::string& cell) {
+void EntryControl::TriggerReport(uint32_t thread, const std::string& cell) {
   m_mailbox.Post([this, thread, cell] {
-    const auto found = m_links.find({thread, cell});
-    if (found == m_links.end() || m_stopping) {
+    const auto found = m_reporters.find({thread, cell});
+    if (found == m_reporters.end() || m_stopping) {
       return;
     }
-    Link& link = *found->second;
-    if (link.m_extra) {
-      link.m_extra_wanted = true;
+    Reporter& reporter = *found->second;
+    if (reporter.m_extra_report_in_flight) {
+      reporter.m_extra_report_requested = true;
       return;
     }
-    link.m_extra = true;
-    StartFiber([this, &link] { RunExtra(link); });
+    reporter.m_extra_report_in_flight = true;
+    StartFiber([this, &reporter] { RunExtraReports(reporter); });
   });
 }
 
-void EntryControl::RunExtra(Link& link) {
-  ++m_running;
+void EntryControl::RunExtraReports(Reporter& reporter) {
+  ++m_running_fibers;
   do {
-    link.m_extra_wanted = false;
-    Exchange(link);
-  } while (link.m_extra_wanted && !m_stopping);
-  link.m_extra = false;
-  --m_running;
+    reporter.m_extra_report_requested = false;
+    SendReport(reporter);
+  } while (reporter.m_extra_report_requested && !m_stopping);
+  reporter.m_extra_report_in_flight = false;
+  --m_running_fibers;
 }
 
-bool EntryControl::Exchange(Link& link) {
-  TrafficThread& thread = *m_threads[link.m_thread];
-  SyncRequest report = thread.BuildReport(link.m_cell);
-  report.m_leaving = m_leaving;
-  const HttpRequest call = ClusterRequest("/sync", m_settings.m_cluster_secret,
-                                          EncodeMessage(report));
+bool EntryControl::SendReport(Reporter& reporter) {
+  TrafficThread& thread = *m_threads[reporter.m_thread];
+  SyncRequest report = thread.BuildReport(reporter.m_cell);
+  report.m_leaving = m_shutting_down;
+  const HttpRequest http_request = ClusterRequest(
+      "/sync", m_settings.m_cluster_secret, EncodeMessage(report));
   const TimePoint sent = Clock::now();
   SyncResponse response;
   try {
-    const HttpResponse answer = m_client.Call(
-        ParseAddress(link.m_finder.GetCurrent()), call, kSyncTimeout);
-    DecodeMessage(answer.m_body, response);
+    const HttpResponse http_response =
+        m_client.Call(ParseAddress(reporter.m_finder.GetCurrent()),
+                      http_request, kSyncTimeout);
+    DecodeMessage(http_response.m_body, response);
   } catch (const Error&) {
     thread.OnReportLost(report);
-    link.m_finder.OnNoAnswer(Clock::now());
+    reporter.m_finder.OnNoResponse(Clock::now());
     return false;
   }
   if (response.m_status != SyncStatus::kOk) {
     thread.OnReportLost(report);
-    link.m_finder.OnNotController(response.m_controller, Clock::now());
+    reporter.m_finder.OnNotController(response.m_controller, Clock::now());
     return false;
   }
   thread.Apply(report, response, sent);
   if (response.m_access) {
-    NoteServices(*response.m_access);
+    ApplyAccessView(*response.m_access);
   }
   return true;
 }
 
-void EntryControl::NoteServices(const AccessView& view) {
+void EntryControl::ApplyAccessView(const AccessView& view) {
   for (const std::string& service : view.m_services) {
     for (uint32_t i = 0; i < m_threads.size(); ++i) {
-      StartLink(i, service);
+      StartReporter(i, service);
     }
   }
   if (view.m_version > m_config_version) {
@@ -121,30 +122,30 @@
   }
 }
 
-void EntryControl::Leave() {
-  m_leaving = true;
-  for (const auto& [key, link] : m_links) {
-    Kick(key.first, key.second);
+void EntryControl::BeginShutdown() {
+  m_shutting_down = true;
+  for (const auto& [key, reporter] : m_reporters) {
+    TriggerReport(key.first, key.second);
   }
 }
 
 void EntryControl::ReportAll() {
-  size_t pending = m_links.size();
-  for (auto& [key, link] : m_links) {
-    StartFiber([this, &pending, link = link.get()] {
-      Exchange(*link);
+  size_t pending = m_reporters.size();
+  for (auto& [key, reporter] : m_reporters) {
+    StartFiber([this, &pending, reporter = reporter.get()] {
+      SendReport(*reporter);
       --pending;
     });
   }
   while (pending > 0) {
-    boost::this_fiber::sleep_for(kRetryPause);
+    boost::this_fiber::sleep_for(kRetryDelay);
   }
 }
 
 void EntryControl::Stop() {
   m_stopping = true;
-  while (m_running > 0) {
-    boost::this_fiber::sleep_for(kRetryPause);
+  while (m_running_fibers > 0) {
+    boost::this_fiber::sleep_for(kRetryDelay);
   }
   m_mailbox.Close();
 }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -25,14 +25,15 @@
   /// become known.
   void Start();
 
-  /// Sends a report of a thread and cell at once. Any thread may call it.
-  void Kick(uint32_t thread, const std::string& cell);
+  /// Sends a report of a thread and cell at once. Any thread may call
+  /// it.
+  void TriggerReport(uint32_t thread, const std::string& cell);
 
   /// Tells the controllers that no dispatch lease is wanted any more.
-  void Leave();
+  void BeginShutdown();
 
-  /// Sends one last report of every link and returns when all are answered or
-  /// have failed.
+  /// Sends one last report of every reporter and returns when all are answered
+  /// or have failed.
   void ReportAll();
 
   /// Ends all loops; returns when they have ended.
@@ -43,37 +44,40 @@
 
  private:
   /// A thread and a cell.
-  struct Link {
-    Link(uint32_t thread, std::string cell, std::vector<std::string> controls)
+  struct Reporter {
+    Reporter(uint32_t thread,
+             std::string cell,
+             std::vector<std::string> control_processes)
         : m_thread(thread),
           m_cell(std::move(cell)),
-          m_finder(std::move(controls)) {}
+          m_finder(std::move(control_processes)) {}
 
     uint32_t m_thread;
     std::string m_cell;
     ControllerFinder m_finder;
 
     /// One report beside the loop's is on its way; another one is wanted.
-    bool m_extra = false;
-    bool m_extra_wanted = false;
+    bool m_extra_report_in_flight = false;
+    bool m_extra_report_requested = false;
   };
 
-  void StartLink(uint32_t thread, const std::string& cell);
-  void RunLink(Link& link);
-  void RunExtra(Link& link);
-  bool Exchange(Link& link);
-  void NoteServices(const AccessView& view);
+  void StartReporter(uint32_t thread, const std::string& cell);
+  void RunReportLoop(Reporter& reporter);
+  void RunExtraReports(Reporter& reporter);
+  bool SendReport(Reporter& reporter);
+  void ApplyAccessView(const AccessView& view);
 
   const EntrySettings& m_settings;
   EventLog& m_events;
   std::vector<std::unique_ptr<TrafficThread>>& m_threads;
-  std::vector<std::string> m_controls;
+  std::vector<std::string> m_control_processes;
   HttpClient m_client;
   Mailbox m_mailbox;
-  std::map<std::pair<uint32_t, std::string>, std::unique_ptr<Link>> m_links;
-  int m_running = 0;
+  std::map<std::pair<uint32_t, std::string>, std::unique_ptr<Reporter>>
+      m_reporters;
+  int m_running_fibers = 0;
   uint64_t m_config_version = 0;
-  bool m_leaving = false;
+  bool m_shutting_down = false;
   bool m_stopping = false;
 };
 
--- a/src/entry/forwarding.cc
+++ b/src/entry/forwarding.cc
@@ -21,29 +21,29 @@
 constexpr const char* kWeightHeader = "x-foxtail-weight";
 constexpr const char* kRequestIdHeader = "x-foxtail-request-id";
 constexpr const char* kIssuedHeader = "x-foxtail-issued-ms";
-constexpr const char* kRepeatableHeader = "x-foxtail-repeatable";
+constexpr const char* kIdempotentHeader = "x-foxtail-repeatable";
 constexpr const char* kFreshHeader = "x-foxtail-fresh";
 constexpr const char* kDeadlineHeader = "x-foxtail-deadline-ms";
 constexpr const char* kDeadlineUnixHeader = "x-foxtail-deadline-unix-ms";
 constexpr const char* kEpochHeader = "x-foxtail-epoch";
 
 // Fields that belong to one connection or that hold credentials.
-constexpr std::array kStripped = {"connection",
-                                  "keep-alive",
-                                  "proxy-connection",
-                                  "transfer-encoding",
-                                  "te",
-                                  "trailer",
-                                  "upgrade",
-                                  "content-length",
-                                  "host",
-                                  "authorization",
-                                  "proxy-authorization",
-                                  "cookie",
-                                  "expect",
-                                  "x-execution"};
-
-bool StartsWithReserved(const std::string& name) {
+constexpr std::array kStrippedFields = {"connection",
+                                        "keep-alive",
+                                        "proxy-connection",
+                                        "transfer-encoding",
+                                        "te",
+                                        "trailer",
+                                        "upgrade",
+                                        "content-length",
+                                        "host",
+                                        "authorization",
+                                        "proxy-authorization",
+                                        "cookie",
+                                        "expect",
+                                        "x-execution"};
+
+bool HasReservedPrefix(const std::string& name) {
   if (name.size() < kReservedPrefix.size()) {
     return false;
   }
@@ -57,7 +57,7 @@
 }
 
 template <typename Number>
-Number NumberOf(const HttpRequest& request, const char* header) {
+Number ParseNumberHeader(const HttpRequest& request, const char* header) {
   const std::string text = request.m_headers.GetOr(header, "");
   Number number = 0;
   const auto result =
@@ -85,11 +85,12 @@
   if (!secret.empty() && request.m_target.find(secret) != std::string::npos) {
     throw Error(ErrorCode::kRequestMalformed, "the target holds the API key");
   }
-  std::vector<std::string> removed(kStripped.begin(), kStripped.end());
+  std::vector<std::string> removed(kStrippedFields.begin(),
+                                   kStrippedFields.end());
   for (const HttpHeader& field : request.m_headers.All()) {
-    const bool holds_secret =
+    const bool contains_secret =
         !secret.empty() && field.m_value.find(secret) != std::string::npos;
-    if (holds_secret || StartsWithReserved(field.m_name)) {
+    if (contains_secret || HasReservedPrefix(field.m_name)) {
       removed.push_back(field.m_name);
     }
   }
@@ -104,13 +105,13 @@
   return FastHash(request.m_body, hash);
 }
 
-HttpRequest BackendRequest(const HttpRequest& stripped,
-                           const DispatchQuery& query,
-                           uint64_t epoch,
-                           const Now& now) {
+HttpRequest BuildBackendRequest(const HttpRequest& stripped,
+                                const DispatchQuery& query,
+                                uint64_t epoch,
+                                const Now& now) {
   HttpRequest request = stripped;
   const milliseconds left = RemainingTime(query.m_deadline, now.m_steady);
-  const WallTime until = now.m_wall + left;
+  const WallTime deadline = now.m_wall + left;
   HttpHeaders& headers = request.m_headers;
   headers.Set(kCellHeader, query.m_cell);
   headers.Set(kPartitionHeader, std::to_string(query.m_partition));
@@ -119,11 +120,11 @@
   headers.Set(kRequestIdHeader, query.m_id.m_text);
   headers.Set(kDeadlineHeader, std::to_string(left.count()));
   headers.Set(kDeadlineUnixHeader,
-              std::to_string(until.time_since_epoch().count()));
+              std::to_string(deadline.time_since_epoch().count()));
   return request;
 }
 
-HttpResponse CallerResponse(HttpResponse response) {
+HttpResponse BuildClientResponse(HttpResponse response) {
   for (const char* name : {"connection", "keep-alive", "transfer-encoding",
                            "content-length", "x-server-instance"}) {
     response.m_headers.Remove(name);
@@ -133,10 +134,10 @@
   return response;
 }
 
-HttpRequest DispatchRequest(const HttpRequest& stripped,
-                            const DispatchQuery& query,
-                            const std::string& cluster_secret,
-                            TimePoint now) {
+HttpRequest BuildDispatchRequest(const HttpRequest& stripped,
+                                 const DispatchQuery& query,
+                                 const std::string& cluster_secret,
+                                 TimePoint now) {
   HttpRequest request = stripped;
   HttpHeaders& headers = request.m_headers;
   headers.Set(kClusterHeader, cluster_secret);
@@ -147,32 +148,33 @@
   headers.Set(kRequestIdHeader, query.m_id.m_text);
   headers.Set(kIssuedHeader,
               std::to_string(query.m_id.m_issued.time_since_epoch().count()));
-  headers.Set(kRepeatableHeader, query.m_repeatable ? "1" : "0");
+  headers.Set(kIdempotentHeader, query.m_idempotent ? "1" : "0");
   headers.Set(kFreshHeader, query.m_fresh ? "1" : "0");
   headers.Set(kDeadlineHeader,
               std::to_string(RemainingTime(query.m_deadline, now).count()));
   return request;
 }
 
-DispatchQuery TakeDispatchQuery(HttpRequest& request, TimePoint now) {
+DispatchQuery ExtractDispatchQuery(HttpRequest& request, TimePoint now) {
   DispatchQuery query;
   query.m_cell = request.m_headers.GetOr(kCellHeader, "");
-  query.m_partition = NumberOf<PartitionNumber>(request, kPartitionHeader);
+  query.m_partition =
+      ParseNumberHeader<PartitionNumber>(request, kPartitionHeader);
   query.m_workspace = request.m_headers.GetOr(kWorkspaceHeader, "");
-  query.m_weight = NumberOf<uint32_t>(request, kWeightHeader);
+  query.m_weight = ParseNumberHeader<uint32_t>(request, kWeightHeader);
   query.m_id.m_text = request.m_headers.GetOr(kRequestIdHeader, "");
-  query.m_id.m_issued =
-      WallTime(milliseconds(NumberOf<int64_t>(request, kIssuedHeader)));
-  query.m_repeatable = NumberOf<int>(request, kRepeatableHeader) != 0;
-  query.m_fresh = NumberOf<int>(request, kFreshHeader) != 0;
+  query.m_id.m_issued = WallTime(
+      milliseconds(ParseNumberHeader<int64_t>(request, kIssuedHeader)));
+  query.m_idempotent = ParseNumberHeader<int>(request, kIdempotentHeader) != 0;
+  query.m_fresh = ParseNumberHeader<int>(request, kFreshHeader) != 0;
   query.m_deadline =
-      now + milliseconds(NumberOf<int64_t>(request, kDeadlineHeader));
+      now + milliseconds(ParseNumberHeader<int64_t>(request, kDeadlineHeader));
   query.m_fingerprint = FingerprintOf(request);
   StripRequest(request, "");
   return query;
 }
 
-HttpResponse DispatchErrorResponse(const Error& error) {
+HttpResponse BuildDispatchErrorResponse(const Error& error) {
   HttpResponse response = ErrorResponse(error);
   response.m_headers.Set(kErrorHeader, "1");
   return response;
--- a/src/entry/forwarding.h
+++ b/src/entry/forwarding.h
@@ -28,25 +28,25 @@
 uint64_t FingerprintOf(const HttpRequest& request);
 
 /// Builds the request to a backend server from a stripped one.
-HttpRequest BackendRequest(const HttpRequest& stripped,
-                           const DispatchQuery& query,
-                           uint64_t epoch,
-                           const Now& now);
+HttpRequest BuildBackendRequest(const HttpRequest& stripped,
+                                const DispatchQuery& query,
+                                uint64_t epoch,
+                                const Now& now);
 
 /// Builds the answer to the caller from a backend server's.
-HttpResponse CallerResponse(HttpResponse response);
+HttpResponse BuildClientResponse(HttpResponse response);
 
 /// Builds the request to another entry's dispatcher from a stripped one.
-HttpRequest DispatchRequest(const HttpRequest& stripped,
-                            const DispatchQuery& query,
-                            const std::string& cluster_secret,
-                            TimePoint now);
+HttpRequest BuildDispatchRequest(const HttpRequest& stripped,
+                                 const DispatchQuery& query,
+                                 const std::string& cluster_secret,
+                                 TimePoint now);
 
-/// Takes the query out of a request built by `DispatchRequest`. Throws
+/// Takes the query out of a request built by `BuildDispatchRequest`. Throws
 /// `Error(kMessageMalformed)`.
-DispatchQuery TakeDispatchQuery(HttpRequest& request, TimePoint now);
+DispatchQuery ExtractDispatchQuery(HttpRequest& request, TimePoint now);
 
 /// Marks an error's response for another entry.
-HttpResponse DispatchErrorResponse(const Error& error);
+HttpResponse BuildDispatchErrorResponse(const Error& error);
 
 }  // namespace foxtail
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -12,53 +12,53 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCallTimeout{250};
+constexpr milliseconds kRequestTimeout{250};
 
 // The stock is looked at this often even when nobody waits.
 constexpr milliseconds kCheckPeriod{20};
 
-// Pause after an answer that gave less than was asked for, and after a call
-// that failed.
-constexpr milliseconds kShortPause{5};
-constexpr milliseconds kFailurePause{20};
+// Pause after an answer that gave less than was asked for, and after a
+// call that failed.
+constexpr milliseconds kPartialGrantBackoff{5};
+constexpr milliseconds kFailureBackoff{20};
 
 }  // namespace
 
 TokenClient::TokenClient(TokenBudget& budget,
-                         DispatcherName self,
-                         std::vector<std::string> controls,
+                         DispatcherName identity,
+                         std::vector<std::string> control_processes,
                          std::string cluster_secret,
-                         Duration wait)
+                         Duration token_wait)
     : m_budget(budget),
-      m_self(std::move(self)),
+      m_identity(std::move(identity)),
       m_cluster_secret(std::move(cluster_secret)),
-      m_wait(wait),
-      m_finder(std::move(controls)) {}
+      m_token_wait(token_wait),
+      m_finder(std::move(control_processes)) {}
 
 void TokenClient::Acquire(const std::string& workspace, TimePoint deadline) {
   const TimePoint start = Clock::now();
   m_budget.OnArrival(workspace, start);
-  if (m_budget.TryTake(workspace, start)) {
+  if (m_budget.TryAcquire(workspace, start)) {
     return;
   }
   m_budget.AddWaiting(workspace);
-  bool taken = false;
-  const TimePoint refuse_at = std::min(deadline, start + m_wait);
-  // Until the holder has said that there are no tokens, the request may wait
-  // for its whole deadline: it is not known to be over its rate.
-  while (!taken) {
+  bool acquired = false;
+  const TimePoint refuse_at = std::min(deadline, start + m_token_wait);
+  // Until the holder has said that there are no tokens, the request may
+  // wait for its whole deadline: it is not known to be over its rate.
+  while (!acquired) {
     const TimePoint now = Clock::now();
     const bool denied = m_budget.WasDenied(workspace, start);
     if (now >= deadline || (now >= refuse_at && denied)) {
       break;
     }
-    m_wanted.Notify();
-    m_granted.WaitUntil(
-        std::min(deadline, now < refuse_at ? refuse_at : now + kFailurePause));
-    taken = m_budget.TryTake(workspace, Clock::now());
+    m_refill_needed.Notify();
+    m_tokens_granted.WaitUntil(std::min(
+        deadline, now < refuse_at ? refuse_at : now + kFailureBackoff));
+    acquired = m_budget.TryAcquire(workspace, Clock::now());
   }
   m_budget.RemoveWaiting(workspace);
-  if (!taken) {
+  if (!acquired) {
     throw Error(m_budget.WasDenied(workspace, start) ? ErrorCode::kRateExceeded
                                                      : ErrorCode::kAccessStale,
                 workspace);
@@ -68,61 +68,62 @@
 void TokenClient::Loop() {
   while (!m_stopping) {
     const TimePoint now = Clock::now();
-    if (m_budget.NeedsTokens(now) && now >= m_not_before) {
-      Fetch();
+    if (m_budget.NeedsTokens(now) && now >= m_next_request_at) {
+      RequestTokens();
       continue;
     }
-    const TimePoint wake = now < m_not_before && m_budget.NeedsTokens(now)
-                               ? m_not_before
-                               : now + kCheckPeriod;
-    m_wanted.WaitUntil(wake);
+    const TimePoint wake_at =
+        now < m_next_request_at && m_budget.NeedsTokens(now)
+            ? m_next_request_at
+            : now + kCheckPeriod;
+    m_refill_needed.WaitUntil(wake_at);
   }
 }
 
 void TokenClient::Stop() {
   m_stopping = true;
-  m_wanted.Notify();
+  m_refill_needed.Notify();
 }
 
-void TokenClient::Fetch() {
+void TokenClient::RequestTokens() {
   const TimePoint sent = Clock::now();
   TokenRequest request;
-  request.m_dispatcher = m_self;
+  request.m_dispatcher = m_identity;
   request.m_demands = m_budget.BuildDemands(sent);
-  const HttpRequest call =
+  const HttpRequest http_request =
       ClusterRequest("/tokens", m_cluster_secret, EncodeMessage(request));
   TokenResponse response;
   try {
-    const HttpResponse answer =
-        m_client.Call(ParseAddress(m_finder.GetCurrent()), call, kCallTimeout);
-    DecodeMessage(answer.m_body, response);
+    const HttpResponse http_response = m_client.Call(
+        ParseAddress(m_finder.GetCurrent()), http_request, kRequestTimeout);
+    DecodeMessage(http_response.m_body, response);
   } catch (const Error&) {
-    m_finder.OnNoAnswer(Clock::now());
-    PauseIfAllAsked();
+    m_finder.OnNoResponse(Clock::now());
+    BackOffIfAllTried();
     return;
   }
   if (response.m_status != SyncStatus::kOk) {
     m_finder.OnNotController(response.m_controller, Clock::now());
-    PauseIfAllAsked();
+    BackOffIfAllTried();
     return;
   }
   m_budget.OnGrants(response, sent);
-  double wanted = 0;
+  double missing = 0;
   for (const TokenDemand& demand : request.m_demands) {
-    wanted += demand.m_wanted;
+    missing += demand.m_wanted;
   }
   for (const TokenGrant& grant : response.m_grants) {
-    wanted -= grant.m_tokens;
+    missing -= grant.m_tokens;
   }
-  if (wanted > 0) {
-    m_not_before = Clock::now() + kShortPause;
+  if (missing > 0) {
+    m_next_request_at = Clock::now() + kPartialGrantBackoff;
   }
-  m_granted.Notify();
+  m_tokens_granted.Notify();
 }
 
-void TokenClient::PauseIfAllAsked() {
-  if (m_finder.TakePause()) {
-    m_not_before = Clock::now() + kFailurePause;
+void TokenClient::BackOffIfAllTried() {
+  if (m_finder.TakeBackoff()) {
+    m_next_request_at = Clock::now() + kFailureBackoff;
   }
 }
 
--- a/src/entry/token_client.h
+++ b/src/entry/token_client.h
@@ -14,12 +14,13 @@
 /// Keeps the tokens of one traffic thread supplied by their holder.
 class TokenClient {
  public:
-  /// `controls` are all control processes; any of them may be the holder.
+  /// `control_processes` are all control processes; any of them may be the
+  /// holder.
   TokenClient(TokenBudget& budget,
-              DispatcherName self,
-              std::vector<std::string> controls,
+              DispatcherName identity,
+              std::vector<std::string> control_processes,
               std::string cluster_secret,
-              Duration wait);
+              Duration token_wait);
 
   /// Takes one token, waiting for the holder if there is none. Throws
   /// `Error(kRateExceeded)` when the holder gives none in time, or
@@ -32,18 +33,18 @@
   void Stop();
 
  private:
-  void Fetch();
-  void PauseIfAllAsked();
+  void RequestTokens();
+  void BackOffIfAllTried();
 
   TokenBudget& m_budget;
-  DispatcherName m_self;
+  DispatcherName m_identity;
   std::string m_cluster_secret;
-  Duration m_wait;
+  Duration m_token_wait;
   HttpClient m_client;
   ControllerFinder m_finder;
-  FiberEvent m_wanted;
-  FiberEvent m_granted;
-  TimePoint m_not_before;
+  FiberEvent m_refill_needed;
+  FiberEvent m_tokens_granted;
+  TimePoint m_next_request_at;
   bool m_stopping = false;
 };
 
--- a/src/entry/traffic_thread.cc
+++ b/src/entry/traffic_thread.cc
@@ -7,7 +7,7 @@
 #include "core/digest.h"
 #include "core/error.h"
 #include "core/metrics.h"
-#include "entry/caller_handler.h"
+#include "entry/client_handler.h"
 #include "entry/dispatcher.h"
 #include "entry/forwarding.h"
 #include "entry/token_client.h"
@@ -24,13 +24,13 @@
 
 constexpr milliseconds kTickPeriod{10};
 constexpr milliseconds kTokenHorizon{100};
-constexpr milliseconds kRoutesPatience{10'000};
-constexpr double kFixedTokens = 2;
+constexpr milliseconds kRoutesTimeout{10'000};
+constexpr double kFixedStock = 2;
 constexpr size_t kBytesPerKib = 1024;
 constexpr size_t kInternalConnectionLimit = 65536;
 constexpr int kStatusUnavailable = 503;
 
-DispatchStrategies StrategiesOf(const EntrySettings& settings) {
+DispatchStrategies MakeStrategies(const EntrySettings& settings) {
   DispatchStrategies strategies;
   if (settings.m_queue == "fifo") {
     strategies.m_queue = [] { return std::make_unique<FifoQueue>(); };
@@ -47,14 +47,15 @@
   return strategies;
 }
 
-std::unique_ptr<ShareStrategy> ShareOf(const EntrySettings& settings) {
+std::unique_ptr<ShareStrategy> MakeShareStrategy(
+    const EntrySettings& settings) {
   if (settings.m_share == "fixed") {
-    return std::make_unique<FixedShare>(kFixedTokens);
+    return std::make_unique<FixedShare>(kFixedStock);
   }
   return std::make_unique<DemandShare>(kTokenHorizon);
 }
 
-HttpServerSettings CallerServerSettings(const EntrySettings& settings) {
+HttpServerSettings ClientServerSettings(const EntrySettings& settings) {
   HttpServerSettings server;
   server.m_body_limit = settings.m_body_limit_kib * kBytesPerKib;
   server.m_connection_limit = settings.m_connection_limit;
@@ -64,7 +65,7 @@
 }
 
 HttpServerSettings InternalServerSettings(const EntrySettings& settings) {
-  HttpServerSettings server = CallerServerSettings(settings);
+  HttpServerSettings server = ClientServerSettings(settings);
   server.m_connection_limit = kInternalConnectionLimit;
   server.m_reuse_port = false;
   return server;
@@ -77,41 +78,41 @@
  public:
   Core(TrafficThread& owner)
       : m_owner(owner),
-        m_system(DispatchSettings(), StrategiesOf(owner.m_settings)),
+        m_system(DispatchSettings(), MakeStrategies(owner.m_settings)),
         m_dispatcher(m_system,
                      owner.m_events,
                      m_metrics,
                      [&owner](const std::string& cell) {
-                       owner.m_kick(owner.m_index, cell);
+                       owner.m_trigger_report(owner.m_index, cell);
                      }),
-        m_budget(ShareOf(owner.m_settings)),
-        m_tokens(m_budget,
-                 owner.m_name,
-                 ParseAddressList(owner.m_settings.m_control),
-                 owner.m_settings.m_cluster_secret,
-                 owner.m_settings.m_token_wait),
+        m_budget(MakeShareStrategy(owner.m_settings)),
+        m_token_client(m_budget,
+                       owner.m_identity,
+                       ParseAddressList(owner.m_settings.m_control),
+                       owner.m_settings.m_cluster_secret,
+                       owner.m_settings.m_token_wait),
         m_handler(owner.m_settings,
-                  owner.m_name.m_address,
+                  owner.m_identity.m_address,
                   m_system,
                   m_dispatcher,
-                  m_tokens,
+                  m_token_client,
                   m_access,
-                  m_changed,
+                  m_state_changed,
                   owner.m_events,
                   m_metrics),
-        m_callers(
+        m_client_server(
             ParseAddress(owner.m_settings.m_listen),
-            CallerServerSettings(owner.m_settings),
-            [this](HttpRequest& request) { return HandleCaller(request); }),
-        m_internal(
-            ParseAddress(owner.m_name.m_address),
+            ClientServerSettings(owner.m_settings),
+            [this](HttpRequest& request) { return HandleClient(request); }),
+        m_internal_server(
+            ParseAddress(owner.m_identity.m_address),
             InternalServerSettings(owner.m_settings),
             [this](HttpRequest& request) { return HandleInternal(request); }) {}
 
   void Start() {
-    m_callers.Start();
-    m_internal.Start();
-    StartFiber([this] { m_tokens.Loop(); });
+    m_client_server.Start();
+    m_internal_server.Start();
+    StartFiber([this] { m_token_client.Loop(); });
     StartFiber([this] { TickLoop(); });
   }
 
@@ -132,18 +133,18 @@
              const SyncResponse& response,
              TimePoint sent) {
     const Now now = ReadClocks();
-    m_system.OnReportAnswered(report);
+    m_system.OnReportAcknowledged(report);
     if (report.m_cell == kAccessCell) {
       ApplyAccess(response, sent, now);
     } else if (m_system.Apply(report.m_cell, response, sent, now)) {
-      m_dispatcher.BounceWaiting();
-      m_dispatcher.PumpAll();
+      m_dispatcher.RejectUnsendable();
+      m_dispatcher.DispatchAllWaiting();
       // Acknowledge new routes at once: a move may wait for it.
       if (response.m_routes) {
-        m_owner.m_kick(m_owner.m_index, report.m_cell);
+        m_owner.m_trigger_report(m_owner.m_index, report.m_cell);
       }
     }
-    m_changed.Notify();
+    m_state_changed.Notify();
   }
 
   void OnReportLost(const SyncRequest& report) {
@@ -152,35 +153,35 @@
 
   void FailHealth() { m_healthy = false; }
 
-  size_t CountHeld() {
+  size_t CountUnreleased() {
     const TimePoint now = Clock::now();
-    size_t held = 0;
+    size_t unreleased = 0;
     m_system.GetTables().m_servers.ForEach(
         [&](auto, const DispatchServerRow& server) {
-          held += now < server.m_lease_until || server.m_running > 0;
+          unreleased += now < server.m_lease_until || server.m_running > 0;
         });
     // What was let go must also be reported, with the memories of it.
     m_system.GetTables().m_cells.ForEach([&](auto, const TrafficCellRow& cell) {
-      held += cell.m_memories.size();
+      unreleased += cell.m_dedup_states.size();
     });
-    return held;
+    return unreleased;
   }
 
   bool Stop(Duration timeout) {
     const TimePoint until = Clock::now() + timeout;
-    const bool callers = m_callers.Stop(timeout);
-    const bool internal =
-        m_internal.Stop(std::max(Duration::zero(), until - Clock::now()));
+    const bool clients_done = m_client_server.Stop(timeout);
+    const bool internal_done = m_internal_server.Stop(
+        std::max(Duration::zero(), until - Clock::now()));
     m_stopping = true;
-    m_tokens.Stop();
-    while (m_fibers > 0 && Clock::now() < until) {
+    m_token_client.Stop();
+    while (m_running_fibers > 0 && Clock::now() < until) {
       boost::this_fiber::sleep_for(kTickPeriod);
     }
-    return callers && internal;
+    return clients_done && internal_done;
   }
 
  private:
-  HttpResponse HandleCaller(HttpRequest& request) {
+  HttpResponse HandleClient(HttpRequest& request) {
     if (request.m_target == "/health") {
       return Health();
     }
@@ -200,7 +201,7 @@
   // A new entry takes callers once it can route to every service; a service
   // without a controller holds it up for a while only.
   bool HasRoutes() const {
-    if (Clock::now() >= m_started + kRoutesPatience) {
+    if (Clock::now() >= m_started_at + kRoutesTimeout) {
       return true;
     }
     const TrafficTables& tables = m_system.GetTables();
@@ -221,10 +222,10 @@
     }
     try {
       RequireCluster(request, m_owner.m_settings.m_cluster_secret);
-      const DispatchQuery query = TakeDispatchQuery(request, Clock::now());
+      const DispatchQuery query = ExtractDispatchQuery(request, Clock::now());
       return m_dispatcher.Dispatch(query, request);
     } catch (const Error& error) {
-      return DispatchErrorResponse(error);
+      return BuildDispatchErrorResponse(error);
     }
   }
 
@@ -251,72 +252,72 @@
   }
 
   void TickLoop() {
-    ++m_fibers;
+    ++m_running_fibers;
     while (!m_stopping) {
       boost::this_fiber::sleep_for(kTickPeriod);
       Tick(ReadClocks());
     }
-    --m_fibers;
+    --m_running_fibers;
   }
 
   // The update of the traffic state. Requests do not wait for it.
   void Tick(const Now& now) {
     const bool drained = m_system.Expire(now);  // 1. Drop what is over.
-    m_dispatcher.BounceWaiting();               // 2. Lapsed leases.
-    m_dispatcher.PumpAll();                     // 3. Slots that came free.
-    NoteStaleAccess(now);                       // 4. Word on API keys.
+    m_dispatcher.RejectUnsendable();            // 2. Lapsed leases.
+    m_dispatcher.DispatchAllWaiting();          // 3. Slots that came free.
+    LogStaleAccess(now);                        // 4. Word on API keys.
     if (drained) {                              // 5. Tell the controllers.
       m_system.GetTables().m_cells.ForEach(
           [&](auto, const TrafficCellRow& cell) {
-            m_owner.m_kick(m_owner.m_index, cell.m_name);
+            m_owner.m_trigger_report(m_owner.m_index, cell.m_name);
           });
     }
   }
 
-  void NoteStaleAccess(const Now& now) {
+  void LogStaleAccess(const Now& now) {
     const bool stale =
         m_access.m_index && now.m_steady >= m_access.m_fresh_until;
-    if (stale && !m_was_stale) {
+    if (stale && !m_access_was_stale) {
       const auto age = std::chrono::duration_cast<milliseconds>(
           m_owner.m_settings.m_access_lifetime);
       m_owner.m_events.Write(EventNumber::kAccessStale,
                              {{"milliseconds", age.count()}});
     }
-    m_was_stale = stale;
+    m_access_was_stale = stale;
   }
 
   TrafficThread& m_owner;
   Metrics m_metrics;
-  FiberEvent m_changed;
+  FiberEvent m_state_changed;
   AccessState m_access;
   uint64_t m_access_epoch = 0;
   uint64_t m_access_version = 0;
   DispatchSystem m_system;
   Dispatcher m_dispatcher;
   TokenBudget m_budget;
-  TokenClient m_tokens;
-  CallerHandler m_handler;
-  HttpServer m_callers;
-  HttpServer m_internal;
-  TimePoint m_started = Clock::now();
+  TokenClient m_token_client;
+  ClientHandler m_handler;
+  HttpServer m_client_server;
+  HttpServer m_internal_server;
+  TimePoint m_started_at = Clock::now();
   bool m_healthy = true;
   bool m_stopping = false;
-  bool m_was_stale = false;
-  int m_fibers = 0;
+  bool m_access_was_stale = false;
+  int m_running_fibers = 0;
 };
 
 TrafficThread::TrafficThread(
     const EntrySettings& settings,
     uint32_t index,
     EventLog& events,
-    std::function<void(uint32_t, const std::string&)> kick)
+    std::function<void(uint32_t, const std::string&)> trigger_report)
     : m_settings(settings),
       m_index(index),
       m_events(events),
-      m_kick(std::move(kick)) {
+      m_trigger_report(std::move(trigger_report)) {
   Address address = ParseAddress(settings.m_internal);
   address.m_port = static_cast<uint16_t>(address.m_port + index);
-  m_name = {address.ToString(), RandomToken()};
+  m_identity = {address.ToString(), RandomToken()};
 }
 
 TrafficThread::~TrafficThread() {
@@ -356,7 +357,7 @@
 SyncRequest TrafficThread::BuildReport(const std::string& cell) {
   SyncRequest request =
       m_mailbox.Call([this, &cell] { return m_core->BuildReport(cell); });
-  request.m_dispatcher = m_name;
+  request.m_dispatcher = m_identity;
   request.m_data_centre = m_settings.m_data_centre;
   return request;
 }
@@ -375,8 +376,8 @@
   m_mailbox.Call([&] { m_core->FailHealth(); });
 }
 
-size_t TrafficThread::CountHeld() {
-  return m_mailbox.Call([&] { return m_core->CountHeld(); });
+size_t TrafficThread::CountUnreleased() {
+  return m_mailbox.Call([&] { return m_core->CountUnreleased(); });
 }
 
 bool TrafficThread::Stop(Duration timeout) {
--- a/src/entry/traffic_thread.h
+++ b/src/entry/traffic_thread.h
@@ -20,12 +20,13 @@
 /// but calls through its mailbox.
 class TrafficThread {
  public:
-  /// `index` is the number of the thread; `kick(index, cell)` runs on this
-  /// thread when the controller should hear from it at once.
-  TrafficThread(const EntrySettings& settings,
-                uint32_t index,
-                EventLog& events,
-                std::function<void(uint32_t, const std::string&)> kick);
+  /// `index` is the number of the thread; `trigger_report(index, cell)` runs on
+  /// this thread when the controller should hear from it at once.
+  TrafficThread(
+      const EntrySettings& settings,
+      uint32_t index,
+      EventLog& events,
+      std::function<void(uint32_t, const std::string&)> trigger_report);
   ~TrafficThread();
 
   TrafficThread(const TrafficThread&) = delete;
@@ -51,13 +52,13 @@
 
   /// Returns how many dispatch leases and unreported memories the thread still
   /// holds.
-  size_t CountHeld();
+  size_t CountUnreleased();
 
   /// Answers requests in progress and ends the thread. Returns whether all
   /// requests were answered within `timeout`.
   bool Stop(Duration timeout);
 
-  const DispatcherName& GetName() const { return m_name; }
+  const DispatcherName& GetIdentity() const { return m_identity; }
 
  private:
   class Core;
@@ -70,8 +71,8 @@
   const EntrySettings& m_settings;
   uint32_t m_index;
   EventLog& m_events;
-  std::function<void(uint32_t, const std::string&)> m_kick;
-  DispatcherName m_name;
+  std::function<void(uint32_t, const std::string&)> m_trigger_report;
+  DispatcherName m_identity;
   Mailbox m_mailbox;
   Core* m_core = nullptr;
   std::thread m_thread;
--- a/src/gateway/even_share.cc
+++ b/src/gateway/even_share.cc
@@ -4,9 +4,9 @@
 
 namespace foxtail {
 
-bool EvenShare::TryTake(const RoutedWorkspace& workspace,
-                        size_t members,
-                        TimePoint now) {
+bool EvenShare::TryAcquire(const RoutedWorkspace& workspace,
+                           size_t members,
+                           TimePoint now) {
   const double part = 1 / static_cast<double>(std::max<size_t>(1, members));
   // A bucket under one token could never admit anything.
   const double burst = std::max(1.0, workspace.m_burst * part);
--- a/src/gateway/even_share.h
+++ b/src/gateway/even_share.h
@@ -14,7 +14,9 @@
  public:
   /// Takes a token for a request, if the part of one of `members` daemons still
   /// has one.
-  bool TryTake(const RoutedWorkspace& workspace, size_t members, TimePoint now);
+  bool TryAcquire(const RoutedWorkspace& workspace,
+                  size_t members,
+                  TimePoint now);
 
  private:
   struct Bucket {
--- a/src/gateway/gateway_tables.h
+++ b/src/gateway/gateway_tables.h
@@ -20,7 +20,7 @@
 #include "gateway/speed_estimate.h"
 #include "routing/route_index.h"
 #include "store/table_store.h"
-#include "traffic/token_holder.h"
+#include "traffic/token_issuer.h"
 
 namespace foxtail {
 
@@ -285,7 +285,7 @@
   LeadState m_lead;
 
   /// Tokens of the workspaces, while this daemon leads.
-  std::optional<TokenHolder> m_tokens;
+  std::optional<TokenIssuer> m_tokens;
   std::array<WatchProgress, kWatchedKinds> m_progress;
 
   /// The leader passes changes on; until this time nothing need be watched.
--- a/src/gateway/rate_gate.cc
+++ b/src/gateway/rate_gate.cc
@@ -37,7 +37,7 @@
   const TimePoint start = Clock::now();
   const std::string& name = workspace.m_name;
   m_budget.OnArrival(name, start);
-  if (m_budget.TryTake(name, start)) {
+  if (m_budget.TryAcquire(name, start)) {
     return;
   }
   if (m_budget.WasDenied(name, start - kDenialLife)) {
@@ -51,20 +51,20 @@
          !m_budget.WasDenied(name, start)) {
     m_wanted();
     m_granted.WaitUntil(until);
-    taken = m_budget.TryTake(name, Clock::now());
+    taken = m_budget.TryAcquire(name, Clock::now());
   }
   m_budget.RemoveWaiting(name);
   if (taken) {
     return;
   }
   const bool denied = m_budget.WasDenied(name, start);
-  if (denied || !m_even.TryTake(workspace, members, Clock::now())) {
+  if (denied || !m_even.TryAcquire(workspace, members, Clock::now())) {
     throw Error(ErrorCode::kRateExceeded, name);
   }
 }
 
-void RateGate::GiveBack(const std::string& workspace) {
-  m_budget.GiveBack(workspace, Clock::now() + m_settings.m_token_life);
+void RateGate::ReturnToken(const std::string& workspace) {
+  m_budget.ReturnToken(workspace, Clock::now() + m_settings.m_token_life);
 }
 
 std::vector<TokenDemand> RateGate::BuildDemands(TimePoint now) {
--- a/src/gateway/rate_gate.h
+++ b/src/gateway/rate_gate.h
@@ -26,7 +26,7 @@
                TimePoint deadline);
 
   /// Gives back the token of a request that did not run.
-  void GiveBack(const std::string& workspace);
+  void ReturnToken(const std::string& workspace);
 
   /// Builds the demands of the next report.
   std::vector<TokenDemand> BuildDemands(TimePoint now);
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -182,7 +182,7 @@
     return Attempts(request, call);
   } catch (const Error&) {
     if (call.m_workspace && !call.m_maybe_ran) {
-      m_rates.GiveBack(call.m_workspace->m_name);
+      m_rates.ReturnToken(call.m_workspace->m_name);
     }
     throw;
   }
--- a/src/routing/routing_config.h
+++ b/src/routing/routing_config.h
@@ -9,7 +9,7 @@
 namespace foxtail {
 
 /// A service that receives a share of a route's requests.
-struct RoutePart {
+struct WeightedService {
   std::string m_service;
 
   /// Share relative to the other parts, at least 1.
@@ -41,7 +41,7 @@
 
   /// Most servers that one request may be sent to.
   uint32_t m_max_attempts = 1;
-  std::vector<RoutePart> m_parts;
+  std::vector<WeightedService> m_services;
 };
 
 /// A service as operators configured it.
--- a/src/traffic/concurrency_limit.h
+++ b/src/traffic/concurrency_limit.h
@@ -18,7 +18,7 @@
   virtual uint32_t Limit(uint32_t slots) const = 0;
 
   /// The server answered; `instance` is the id of its run.
-  virtual void OnAnswer(const std::string& instance, Duration latency) = 0;
+  virtual void OnResponse(const std::string& instance, Duration latency) = 0;
 
   /// The server refused a request without running it.
   virtual void OnRefusal() = 0;
@@ -34,7 +34,7 @@
 class FixedLimit : public ConcurrencyLimit {
  public:
   uint32_t Limit(uint32_t slots) const override { return slots; }
-  void OnAnswer(const std::string&, Duration) override {}
+  void OnResponse(const std::string&, Duration) override {}
   void OnRefusal() override {}
   void OnConnectionLost() override {}
   bool IsCold() const override { return false; }
@@ -43,7 +43,7 @@
 /// Settings of `RampLimit`.
 struct RampSettings {
   /// Answers that double the limit of a cold server.
-  uint32_t m_answers_per_step = 20;
+  uint32_t m_responses_per_step = 20;
 
   /// Latency relative to the usual one that counts as slow.
   double m_slow_ratio = 4;
@@ -53,10 +53,10 @@
   double m_warm_ratio = 2;
 
   /// Slow answers or failures in a row that make a server cold.
-  uint32_t m_slow_in_row = 8;
+  uint32_t m_slow_streak_limit = 8;
 
   /// Answers slower than this are never ordinary noise.
-  std::chrono::milliseconds m_slow_floor{5};
+  std::chrono::milliseconds m_min_slow_latency{5};
 };
 
 /// Starts a cold server with one request at a time and doubles the limit once
@@ -68,28 +68,28 @@
   explicit RampLimit(const RampSettings& settings);
 
   uint32_t Limit(uint32_t slots) const override;
-  void OnAnswer(const std::string& instance, Duration latency) override;
+  void OnResponse(const std::string& instance, Duration latency) override;
   void OnRefusal() override;
   void OnConnectionLost() override;
-  bool IsCold() const override { return m_allowed < kUnlimited; }
+  bool IsCold() const override { return m_current_limit < kNoLimit; }
 
  private:
-  static constexpr uint32_t kUnlimited = 1U << 20U;
+  static constexpr uint32_t kNoLimit = 1U << 20U;
 
   void BecomeCold();
-  bool HasPlateau();
-  bool IsOver(Duration latency, double ratio) const;
+  bool FinishStep();
+  bool ExceedsBaseline(Duration latency, double ratio) const;
 
   RampSettings m_settings;
   std::string m_instance;
-  uint32_t m_allowed = 1;
-  uint32_t m_answers = 0;
-  uint32_t m_slow = 0;
+  uint32_t m_current_limit = 1;
+  uint32_t m_step_responses = 0;
+  uint32_t m_slow_streak = 0;
 
   /// Latencies of this step's answers, and the mean of the step before.
   double m_step_seconds = 0;
-  double m_last_mean = 0;
-  double m_usual_seconds = 0;
+  double m_previous_step_mean = 0;
+  double m_baseline_seconds = 0;
 };
 
 }  // namespace foxtail
--- a/src/traffic/seen_registry.h
+++ b/src/traffic/dedup_registry.h
@@ -11,11 +11,11 @@
 
 /// Request ids of one partition that may not be repeated. A repeat is told from
 /// a first request for as long as the dispatcher keeps the partition.
-class SeenRegistry {
+class DedupRegistry {
  public:
   /// `known_since`: every id issued from then on is known. `retention`: how
   /// long ids are kept.
-  SeenRegistry(WallTime known_since, Duration retention);
+  DedupRegistry(WallTime known_since, Duration retention);
 
   /// Notes an id. Throws `Error(kRequestDuplicate)` when it was noted before
   /// and, unless it is `fresh`, `Error(kRequestUnverifiable)` when it is too
@@ -32,17 +32,17 @@
   PartitionMemory Export(PartitionNumber number) const;
 
   /// Takes in what another dispatcher handed over.
-  void Import(const PartitionMemory& memory);
+  void Import(const PartitionMemory& state);
 
   /// Hash by which an id is kept.
   static uint64_t HashOf(const RequestId& id);
 
-  size_t size() const { return m_issued.size(); }
+  size_t size() const { return m_issued_times.size(); }
 
  private:
   WallTime m_known_since;
-  Duration m_retention;
-  std::unordered_map<uint64_t, WallTime> m_issued;
+  Duration m_id_retention;
+  std::unordered_map<uint64_t, WallTime> m_issued_times;
 };
 
 }  // namespace foxtail
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -9,16 +9,16 @@
 namespace {
 
 // Loads reported in one sync request; the busiest partitions come first.
-constexpr size_t kReportedLoads = 32;
+constexpr size_t kMaxReportedLoads = 32;
 
-std::vector<PartitionLoad> BusiestPartitions(
+std::vector<PartitionLoad> SelectHighestLoads(
     const std::unordered_map<PartitionNumber, uint32_t>& loads) {
   std::vector<PartitionLoad> all;
   for (const auto& [number, requests] : loads) {
     all.push_back({number, requests});
   }
   std::ranges::sort(all, std::ranges::greater(), &PartitionLoad::m_requests);
-  all.resize(std::min(all.size(), kReportedLoads));
+  all.resize(std::min(all.size(), kMaxReportedLoads));
   return all;
 }
 
@@ -28,7 +28,7 @@
                                DispatchStrategies strategies)
     : m_settings(settings), m_strategies(std::move(strategies)) {}
 
-const RoutePartition* DispatchSystem::SendablePartition(
+const RoutePartition* DispatchSystem::FindSendablePartition(
     const TrafficCellRow& cell,
     PartitionNumber number,
     const std::string& server) const {
@@ -43,8 +43,8 @@
   return partition;
 }
 
-DispatchServerId DispatchSystem::ServerOf(const TrafficCellRow& cell,
-                                          PartitionNumber number) const {
+DispatchServerId DispatchSystem::FindServer(const TrafficCellRow& cell,
+                                            PartitionNumber number) const {
   if (!cell.m_routes) {
     return {};
   }
@@ -59,10 +59,10 @@
 
 bool DispatchSystem::Apply(const std::string& name,
                            const SyncResponse& response,
-                           TimePoint sent,
+                           TimePoint sent_at,
                            const Now& now) {
   if (response.m_status != SyncStatus::kOk ||
-      now.m_steady >= sent + response.m_authority_left) {
+      now.m_steady >= sent_at + response.m_authority_left) {
     return false;
   }
   TrafficCellId id = FindCell(m_tables, name);
@@ -83,19 +83,19 @@
   cell.m_control_epoch = response.m_control_epoch;
   cell.m_applied_number = response.m_number;
   cell.m_config_version = response.m_config_version;
-  DropLapsedIds(cell, now.m_steady);
+  DropLapsedRegistries(cell, now.m_steady);
   if (response.m_routes) {
     ApplyRoutes(cell, response);
   }
-  ApplyLeases(id, cell, response, sent);
-  AlignMemories(cell, response, now);
+  ApplyLeases(id, cell, response, sent_at);
+  UpdateDedupRegistries(cell, response, now);
   return true;
 }
 
 // Once a lease has lapsed another dispatcher may have accepted requests, so the
 // ids known here are no longer all ids.
-void DispatchSystem::DropLapsedIds(TrafficCellRow& cell, TimePoint now) {
-  std::erase_if(cell.m_seen, [&](const auto& entry) {
+void DispatchSystem::DropLapsedRegistries(TrafficCellRow& cell, TimePoint now) {
+  std::erase_if(cell.m_dedup_registries, [&](const auto& entry) {
     return now >= m_tables.m_servers.Get(entry.second.m_server).m_lease_until;
   });
 }
@@ -107,14 +107,14 @@
   for (const CrashSuspect& suspect : response.m_routes->m_suspects) {
     cell.m_suspects.emplace(suspect.m_fingerprint, suspect);
   }
-  cell.m_condemned = {response.m_routes->m_condemned.begin(),
-                      response.m_routes->m_condemned.end()};
+  cell.m_quarantined = {response.m_routes->m_condemned.begin(),
+                        response.m_routes->m_condemned.end()};
 }
 
 void DispatchSystem::ApplyLeases(TrafficCellId id,
                                  TrafficCellRow& cell,
                                  const SyncResponse& response,
-                                 TimePoint sent) {
+                                 TimePoint sent_at) {
   const std::set<std::string> leased(response.m_leased_servers.begin(),
                                      response.m_leased_servers.end());
   for (auto& [name, server_id] : cell.m_servers) {
@@ -134,46 +134,48 @@
     }
     DispatchServerRow& server = m_tables.m_servers.Get(server_id);
     server.m_lease_until = std::max(
-        server.m_lease_until, sent + response.m_held_for + response.m_lease);
+        server.m_lease_until, sent_at + response.m_held_for + response.m_lease);
   }
 }
 
-// Each partition in hand has a registry; one that was let go becomes a memory
+// Each partition in hand has a registry; one that was let go becomes a state
 // for its next dispatcher.
-void DispatchSystem::AlignMemories(TrafficCellRow& cell,
-                                   const SyncResponse& response,
-                                   const Now& now) {
-  std::map<PartitionNumber, DispatchServerId> in_hand;
+void DispatchSystem::UpdateDedupRegistries(TrafficCellRow& cell,
+                                           const SyncResponse& response,
+                                           const Now& now) {
+  std::map<PartitionNumber, DispatchServerId> leased;
   for (const RoutePartition& partition : cell.m_routes->m_partitions) {
-    const DispatchServerId server = ServerOf(cell, partition.m_number);
+    const DispatchServerId server = FindServer(cell, partition.m_number);
     if (server.IsValid() &&
         m_tables.m_servers.Get(server).m_lease_until > now.m_steady) {
-      in_hand.emplace(partition.m_number, server);
+      leased.emplace(partition.m_number, server);
     }
   }
-  for (auto it = cell.m_seen.begin(); it != cell.m_seen.end();) {
-    const auto found = in_hand.find(it->first);
-    if (found != in_hand.end() && found->second == it->second.m_server) {
+  for (auto it = cell.m_dedup_registries.begin();
+       it != cell.m_dedup_registries.end();) {
+    const auto found = leased.find(it->first);
+    if (found != leased.end() && found->second == it->second.m_server) {
       ++it;
     } else {
-      cell.m_memories[it->first] = it->second.m_registry.Export(it->first);
-      it = cell.m_seen.erase(it);
+      cell.m_dedup_states[it->first] = it->second.m_registry.Export(it->first);
+      it = cell.m_dedup_registries.erase(it);
     }
   }
-  const WallTime unknown_before =
-      now.m_wall + m_settings.m_id_ahead + m_settings.m_wall_skew;
-  for (const auto& [number, server] : in_hand) {
-    if (cell.m_seen.contains(number)) {
+  const WallTime complete_since =
+      now.m_wall + m_settings.m_max_id_lead + m_settings.m_max_wall_skew;
+  for (const auto& [number, server] : leased) {
+    if (cell.m_dedup_registries.contains(number)) {
       continue;
     }
-    SeenRegistry registry(unknown_before, m_settings.m_retention);
-    for (const PartitionMemory& memory : response.m_memories) {
-      if (memory.m_number == number) {
-        registry.Import(memory);
+    DedupRegistry registry(complete_since, m_settings.m_id_retention);
+    for (const PartitionMemory& state : response.m_memories) {
+      if (state.m_number == number) {
+        registry.Import(state);
       }
     }
-    cell.m_memories.erase(number);
-    cell.m_seen.emplace(number, PartitionIds{server, std::move(registry)});
+    cell.m_dedup_states.erase(number);
+    cell.m_dedup_registries.emplace(
+        number, PartitionDedup{server, std::move(registry)});
   }
 }
 
@@ -181,7 +183,7 @@
   const DispatchServerRow& server = m_tables.m_servers.Get(row.m_server);
   const TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
   const RoutePartition* partition =
-      SendablePartition(cell, row.m_partition, server.m_name);
+      FindSendablePartition(cell, row.m_partition, server.m_name);
   return !partition || partition->m_epoch != row.m_epoch;
 }
 
@@ -199,8 +201,8 @@
   request.m_routes_version = cell->m_routes ? cell->m_routes->m_version : 0;
   for (auto& [server_name, id] : cell->m_servers) {
     DispatchServerRow& server = m_tables.m_servers.Get(id);
-    const bool held = now.m_steady < server.m_lease_until;
-    if (held) {
+    const bool lease_valid = now.m_steady < server.m_lease_until;
+    if (lease_valid) {
       request.m_held_servers.push_back(server_name);
     }
     request.m_observations.push_back(
@@ -227,23 +229,23 @@
   });
   request.m_draining_servers = {draining_servers.begin(),
                                 draining_servers.end()};
-  // A memory is complete once it is known of each request whether it ran.
-  for (const auto& [number, memory] : cell->m_memories) {
+  // A state is complete once it is known of each request whether it ran.
+  for (const auto& [number, state] : cell->m_dedup_states) {
     if (!draining.contains(number)) {
-      request.m_memories.push_back(memory);
+      request.m_memories.push_back(state);
     }
   }
   request.m_suspects = std::move(cell->m_new_suspects);
   cell->m_new_suspects.clear();
-  request.m_loads = BusiestPartitions(cell->m_loads);
+  request.m_loads = SelectHighestLoads(cell->m_loads);
   cell->m_loads.clear();
 }
 
-void DispatchSystem::OnReportAnswered(const SyncRequest& request) {
+void DispatchSystem::OnReportAcknowledged(const SyncRequest& request) {
   if (TrafficCellRow* cell =
           m_tables.m_cells.Find(FindCell(m_tables, request.m_cell))) {
-    for (const PartitionMemory& memory : request.m_memories) {
-      cell->m_memories.erase(memory.m_number);
+    for (const PartitionMemory& state : request.m_memories) {
+      cell->m_dedup_states.erase(state.m_number);
     }
   }
 }
@@ -265,11 +267,11 @@
   if (!cell) {
     throw Error(ErrorCode::kNotDispatcher, query.m_cell);
   }
-  const DispatchServerId id = ServerOf(*cell, query.m_partition);
+  const DispatchServerId id = FindServer(*cell, query.m_partition);
   if (!id.IsValid() || !MaySend(query, id, now.m_steady)) {
     throw Error(ErrorCode::kNotDispatcher, query.m_cell);
   }
-  if (cell->m_condemned.contains(query.m_fingerprint)) {
+  if (cell->m_quarantined.contains(query.m_fingerprint)) {
     throw Error(ErrorCode::kRequestQuarantined);
   }
   DispatchServerRow& server = m_tables.m_servers.Get(id);
@@ -282,8 +284,8 @@
   if (!slot_free && waiting >= route.m_queue) {
     throw Error(ErrorCode::kServerQueueFull, server.m_name);
   }
-  if (!query.m_repeatable) {
-    cell->m_seen.at(query.m_partition)
+  if (!query.m_idempotent) {
+    cell->m_dedup_registries.at(query.m_partition)
         .m_registry.Accept(query.m_id, query.m_fresh, now.m_wall);
   }
   ++cell->m_loads[query.m_partition];
@@ -302,19 +304,19 @@
     row->m_queue->Remove(ticket);
     row->m_suspect_queue.Remove(ticket);
   }
-  if (query.m_repeatable) {
+  if (query.m_idempotent) {
     return;
   }
   TrafficCellRow* cell =
       m_tables.m_cells.Find(FindCell(m_tables, query.m_cell));
-  const auto registry = cell->m_seen.find(query.m_partition);
-  if (registry != cell->m_seen.end()) {
+  const auto registry = cell->m_dedup_registries.find(query.m_partition);
+  if (registry != cell->m_dedup_registries.end()) {
     registry->second.m_registry.Forget(query.m_id);
   }
-  const auto memory = cell->m_memories.find(query.m_partition);
-  if (memory != cell->m_memories.end()) {
-    std::erase_if(memory->second.m_seen, [&](const SeenRequest& seen) {
-      return seen.m_hash == SeenRegistry::HashOf(query.m_id);
+  const auto state = cell->m_dedup_states.find(query.m_partition);
+  if (state != cell->m_dedup_states.end()) {
+    std::erase_if(state->second.m_seen, [&](const SeenRequest& seen) {
+      return seen.m_hash == DedupRegistry::HashOf(query.m_id);
     });
   }
 }
@@ -329,16 +331,16 @@
   return 1;
 }
 
-std::optional<DispatchSystem::Slot> DispatchSystem::TakeSlot(
+std::optional<DispatchSystem::Slot> DispatchSystem::AcquireSlot(
     DispatchServerId id) {
   DispatchServerRow* server = m_tables.m_servers.Find(id);
   if (!server || server->m_exclusive) {
     return std::nullopt;
   }
   // Suspects and others take turns, so that neither keeps the other waiting.
-  const bool others_wait = server->m_queue->size() > 0;
+  const bool others_waiting = server->m_queue->size() > 0;
   const bool suspects_turn = server->m_suspect_queue.size() > 0 &&
-                             (server->m_suspect_turn || !others_wait);
+                             (server->m_suspect_turn || !others_waiting);
   if (suspects_turn) {
     if (server->m_running > 0) {
       return std::nullopt;
@@ -348,7 +350,7 @@
     ++server->m_running;
     return Slot{*server->m_suspect_queue.Pop(), true};
   }
-  if (!others_wait ||
+  if (!others_waiting ||
       server->m_running >= server->m_limit->Limit(SlotsOf(*server))) {
     return std::nullopt;
   }
@@ -357,7 +359,7 @@
   return Slot{*server->m_queue->Pop(), false};
 }
 
-void DispatchSystem::GiveSlot(DispatchServerId id) {
+void DispatchSystem::ReleaseSlot(DispatchServerId id) {
   DispatchServerRow& server = m_tables.m_servers.Get(id);
   assert(server.m_running > 0);
   --server.m_running;
@@ -374,7 +376,8 @@
     return false;
   }
   const TrafficCellRow& cell = m_tables.m_cells.Get(server->m_cell);
-  return SendablePartition(cell, query.m_partition, server->m_name) != nullptr;
+  return FindSendablePartition(cell, query.m_partition, server->m_name) !=
+         nullptr;
 }
 
 InFlightId DispatchSystem::Begin(const DispatchQuery& query,
@@ -382,7 +385,7 @@
   const DispatchServerRow& server = m_tables.m_servers.Get(id);
   const TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
   const RoutePartition* partition =
-      SendablePartition(cell, query.m_partition, server.m_name);
+      FindSendablePartition(cell, query.m_partition, server.m_name);
   assert(partition != nullptr);
   InFlightRow row;
   row.m_server = id;
@@ -390,7 +393,7 @@
   row.m_epoch = partition->m_epoch;
   row.m_fingerprint = query.m_fingerprint;
   // The server judges the deadline by its own wall clock.
-  row.m_over_by = query.m_deadline + m_settings.m_wall_skew;
+  row.m_may_run_until = query.m_deadline + m_settings.m_max_wall_skew;
   return m_tables.m_in_flight.Insert(row);
 }
 
@@ -405,13 +408,13 @@
   DispatchServerRow& server = m_tables.m_servers.Get(server_id);
   const bool solo = server.m_exclusive;
   const bool draining = IsDraining(row);
-  GiveSlot(server_id);
+  ReleaseSlot(server_id);
   switch (outcome) {
-    case SendOutcome::kAnswered:
+    case SendOutcome::kResponded:
       ++server.m_answered;
-      server.m_limit->OnAnswer(server_instance, latency);
+      server.m_limit->OnResponse(server_instance, latency);
       if (solo) {
-        NoteCleared(row);
+        RecordCleared(row);
       }
       break;
     case SendOutcome::kRefused:
@@ -423,19 +426,19 @@
       ++server.m_lost;
       Abandon(query, server_id, 0);
       break;
-    case SendOutcome::kLost:
+    case SendOutcome::kConnectionLost:
       server.m_limit->OnConnectionLost();
       ++server.m_lost;
-      NoteCrash(row, solo);
+      RecordCrash(row, solo);
       break;
     case SendOutcome::kTimedOut:
       break;
   }
-  const bool may_still_run =
-      (outcome == SendOutcome::kLost || outcome == SendOutcome::kTimedOut) &&
-      now < row.m_over_by;
+  const bool may_still_run = (outcome == SendOutcome::kConnectionLost ||
+                              outcome == SendOutcome::kTimedOut) &&
+                             now < row.m_may_run_until;
   if (may_still_run) {
-    row.m_lingering = true;
+    row.m_outcome_unknown = true;
     return false;
   }
   m_tables.m_in_flight.Erase(id);
@@ -444,7 +447,7 @@
 
 // Others in flight at the same server share the suspicion; each of them reports
 // itself when its own connection breaks.
-void DispatchSystem::NoteCrash(const InFlightRow& crashed, bool solo) {
+void DispatchSystem::RecordCrash(const InFlightRow& crashed, bool solo) {
   const DispatchServerRow& server = m_tables.m_servers.Get(crashed.m_server);
   TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
   CrashSuspect report;
@@ -456,7 +459,7 @@
   cell.m_suspects.emplace(crashed.m_fingerprint, report);
 }
 
-void DispatchSystem::NoteCleared(const InFlightRow& answered) {
+void DispatchSystem::RecordCleared(const InFlightRow& answered) {
   const DispatchServerRow& server = m_tables.m_servers.Get(answered.m_server);
   TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
   CrashSuspect report;
@@ -485,13 +488,13 @@
 bool DispatchSystem::Expire(const Now& now) {
   bool drained = false;
   m_tables.m_in_flight.ForEach([&](InFlightId id, const InFlightRow& row) {
-    if (row.m_lingering && now.m_steady >= row.m_over_by) {
+    if (row.m_outcome_unknown && now.m_steady >= row.m_may_run_until) {
       drained = drained || IsDraining(row);
       m_tables.m_in_flight.Erase(id);
     }
   });
   m_tables.m_cells.ForEach([&](auto, TrafficCellRow& cell) {
-    for (auto& [number, ids] : cell.m_seen) {
+    for (auto& [number, ids] : cell.m_dedup_registries) {
       ids.m_registry.Expire(now.m_wall);
     }
   });
--- a/src/traffic/dispatch_system.h
+++ b/src/traffic/dispatch_system.h
@@ -20,13 +20,13 @@
 /// Settings of the dispatch decisions.
 struct DispatchSettings {
   /// How long request ids are remembered.
-  std::chrono::milliseconds m_retention{60'000};
+  std::chrono::milliseconds m_id_retention{60'000};
 
   /// How far ahead of this host's wall clock a request id may be issued.
-  std::chrono::milliseconds m_id_ahead{250};
+  std::chrono::milliseconds m_max_id_lead{250};
 
   /// Largest difference between two hosts' wall clocks.
-  std::chrono::milliseconds m_wall_skew{50};
+  std::chrono::milliseconds m_max_wall_skew{50};
 };
 
 /// A request as the dispatch decisions see it.
@@ -36,7 +36,7 @@
   std::string m_workspace;
   uint32_t m_weight = 1;
   RequestId m_id;
-  bool m_repeatable = false;
+  bool m_idempotent = false;
 
   /// The entry made the id itself and never sent it before, so no dispatcher
   /// can have seen it.
@@ -50,41 +50,41 @@
 /// How a request to a backend server ended, as far as it can be told.
 enum class SendOutcome {
   /// A whole answer arrived.
-  kAnswered,
+  kResponded,
   /// The server said that it did not run the request.
   kRefused,
   /// No byte of the request left.
   kNotSent,
   /// The connection broke after the request may have left.
-  kLost,
+  kConnectionLost,
   /// No answer within the deadline; the server gives up by itself.
   kTimedOut,
 };
 
-/// The dispatch decisions of one traffic thread: which requests may be sent to
-/// which backend server, in which order, and what the outcomes mean. It sends
-/// nothing itself.
+/// The dispatch decisions of one traffic thread: which requests may be sent
+/// to which backend server, in which order, and what the outcomes mean. It
+/// sends nothing itself.
 class DispatchSystem {
  public:
   DispatchSystem(const DispatchSettings& settings,
                  DispatchStrategies strategies);
 
-  /// Acts on an answer to a sync request that was sent at `sent`. Answers that
-  /// were overtaken or arrive after their authority ended are ignored. Returns
-  /// whether anything changed.
+  /// Acts on an answer to a sync request that was sent at `sent_at`. Answers
+  /// that were overtaken or arrive after their authority ended are ignored.
+  /// Returns whether anything changed.
   bool Apply(const std::string& cell,
              const SyncResponse& response,
-             TimePoint sent,
+             TimePoint sent_at,
              const Now& now);
 
   /// Builds the report for the next sync request of a cell. Observations and
-  /// loads are taken; memories stay until `OnReportAnswered`.
+  /// loads are taken; memories stay until `OnReportAcknowledged`.
   void FillReport(const std::string& cell,
                   SyncRequest& request,
                   const Now& now);
 
   /// The report was answered, so its memories need no repetition.
-  void OnReportAnswered(const SyncRequest& request);
+  void OnReportAcknowledged(const SyncRequest& request);
 
   /// The report was not answered: its suspects must be reported again.
   void OnReportLost(const SyncRequest& request);
@@ -111,10 +111,10 @@
 
   /// Returns the next waiting request that may occupy a slot now, if any. The
   /// slot is taken.
-  std::optional<Slot> TakeSlot(DispatchServerId server);
+  std::optional<Slot> AcquireSlot(DispatchServerId server);
 
   /// Gives a taken slot back without having sent anything.
-  void GiveSlot(DispatchServerId server);
+  void ReleaseSlot(DispatchServerId server);
 
   /// Returns whether the request may be sent at this moment; the last check
   /// before its first byte.
@@ -149,23 +149,23 @@
   const TrafficTables& GetTables() const { return m_tables; }
 
  private:
-  const RoutePartition* SendablePartition(const TrafficCellRow& cell,
-                                          PartitionNumber number,
-                                          const std::string& server) const;
-  DispatchServerId ServerOf(const TrafficCellRow& cell,
-                            PartitionNumber number) const;
+  const RoutePartition* FindSendablePartition(const TrafficCellRow& cell,
+                                              PartitionNumber number,
+                                              const std::string& server) const;
+  DispatchServerId FindServer(const TrafficCellRow& cell,
+                              PartitionNumber number) const;
   void ApplyRoutes(TrafficCellRow& cell, const SyncResponse& response);
   void ApplyLeases(TrafficCellId id,
                    TrafficCellRow& cell,
                    const SyncResponse& response,
-                   TimePoint sent);
-  void AlignMemories(TrafficCellRow& cell,
-                     const SyncResponse& response,
-                     const Now& now);
+                   TimePoint sent_at);
+  void UpdateDedupRegistries(TrafficCellRow& cell,
+                             const SyncResponse& response,
+                             const Now& now);
   uint32_t SlotsOf(const DispatchServerRow& server) const;
-  void DropLapsedIds(TrafficCellRow& cell, TimePoint now);
-  void NoteCrash(const InFlightRow& crashed, bool solo);
-  void NoteCleared(const InFlightRow& answered);
+  void DropLapsedRegistries(TrafficCellRow& cell, TimePoint now);
+  void RecordCrash(const InFlightRow& crashed, bool solo);
+  void RecordCleared(const InFlightRow& answered);
   bool IsDraining(const InFlightRow& row) const;
 
   DispatchSettings m_settings;
--- a/src/traffic/queue_strategy.cc
+++ b/src/traffic/queue_strategy.cc
@@ -24,10 +24,10 @@
 void FairQueue::Push(TicketNumber ticket,
                      const std::string& workspace,
                      uint32_t weight) {
-  double& finish = m_finish[workspace];
+  double& finish = m_finish_times[workspace];
   const double start = std::max(m_virtual_time, finish);
   finish = start + 1.0 / weight;
-  m_waiting.emplace(Order{start, ticket}, workspace);
+  m_waiting.emplace(SortKey{start, ticket}, workspace);
 }
 
 std::optional<TicketNumber> FairQueue::Pop() {
@@ -40,7 +40,7 @@
   m_waiting.erase(first);
   if (m_waiting.empty()) {
     // An idle queue owes nobody anything.
-    m_finish.clear();
+    m_finish_times.clear();
     m_virtual_time = 0;
   }
   return ticket;
--- a/src/traffic/queue_strategy.h
+++ b/src/traffic/queue_strategy.h
@@ -58,14 +58,14 @@
   size_t size() const override { return m_waiting.size(); }
 
  private:
-  struct Order {
+  struct SortKey {
     double m_start = 0;
     TicketNumber m_ticket = 0;
-    auto operator<=>(const Order&) const = default;
+    auto operator<=>(const SortKey&) const = default;
   };
 
-  std::map<Order, std::string> m_waiting;
-  std::map<std::string, double> m_finish;
+  std::map<SortKey, std::string> m_waiting;
+  std::map<std::string, double> m_finish_times;
   double m_virtual_time = 0;
 };
 
--- a/src/traffic/request_id.h
+++ b/src/traffic/request_id.h
@@ -16,8 +16,10 @@
 };
 
 /// Reads an id. Throws `Error(kRequestIdMalformed)` when it has another form or
-/// was issued more than `ahead` after `now`.
-RequestId ParseRequestId(std::string_view text, WallTime now, Duration ahead);
+/// was issued more than `max_lead` after `now`.
+RequestId ParseRequestId(std::string_view text,
+                         WallTime now,
+                         Duration max_lead);
 
 /// Makes a new id that was issued at `now`.
 RequestId MakeRequestId(WallTime now);
--- a/src/traffic/token_budget.cc
+++ b/src/traffic/token_budget.cc
@@ -8,36 +8,36 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kMeasurePeriod{50};
-constexpr milliseconds kIdleAfter{1000};
-constexpr double kSmoothing = 0.4;
+constexpr milliseconds kDemandPeriod{50};
+constexpr milliseconds kIdleTimeout{1000};
+constexpr double kDemandSmoothing = 0.4;
 
 // A refill is asked for when the stock is under this part of the target, so
 // that it arrives before the stock is used up.
-constexpr double kRefillPart = 0.5;
+constexpr double kRefillThreshold = 0.5;
 
-double Stock(BudgetRow& row, TimePoint now) {
-  std::erase_if(row.m_shares, [&](const BudgetRow::Share& share) {
-    return now >= share.m_until || share.m_tokens <= 0;
+double CountStock(TokenBudgetRow& row, TimePoint now) {
+  std::erase_if(row.m_batches, [&](const TokenBudgetRow::TokenBatch& batch) {
+    return now >= batch.m_until || batch.m_tokens <= 0;
   });
   double sum = 0;
-  for (const BudgetRow::Share& share : row.m_shares) {
-    sum += share.m_tokens;
+  for (const TokenBudgetRow::TokenBatch& batch : row.m_batches) {
+    sum += batch.m_tokens;
   }
   return sum;
 }
 
 // Gives up the newest tokens first; the oldest are used first. What the holder
 // counts as used cannot be given back.
-double TakeBack(BudgetRow& row, double tokens) {
+double ReclaimTokens(TokenBudgetRow& row, double tokens) {
   double taken = 0;
-  for (auto share = row.m_shares.rbegin(); share != row.m_shares.rend();
-       ++share) {
-    if (share->m_counted) {
+  for (auto batch = row.m_batches.rbegin(); batch != row.m_batches.rend();
+       ++batch) {
+    if (batch->m_counted_as_spent) {
       continue;
     }
-    const double part = std::min(share->m_tokens, tokens - taken);
-    share->m_tokens -= part;
+    const double part = std::min(batch->m_tokens, tokens - taken);
+    batch->m_tokens -= part;
     taken += part;
   }
   return taken;
@@ -45,119 +45,119 @@
 
 }  // namespace
 
-double DemandShare::Target(const BudgetRow& row) const {
-  return std::ceil(row.m_demand * ToSeconds(m_horizon)) +
+double DemandShare::Target(const TokenBudgetRow& row) const {
+  return std::ceil(row.m_demand_rate * ToSeconds(m_horizon)) +
          static_cast<double>(row.m_waiting);
 }
 
-double WholeDemandShare::Target(const BudgetRow& row) const {
-  return std::floor(row.m_demand * ToSeconds(m_horizon)) +
+double WholeDemandShare::Target(const TokenBudgetRow& row) const {
+  return std::floor(row.m_demand_rate * ToSeconds(m_horizon)) +
          static_cast<double>(row.m_waiting);
 }
 
 TokenBudget::TokenBudget(std::unique_ptr<ShareStrategy> strategy)
     : m_strategy(std::move(strategy)) {}
 
-BudgetRow& TokenBudget::RowOf(const std::string& workspace) {
+TokenBudgetRow& TokenBudget::FindOrAddRow(const std::string& workspace) {
   auto& id = m_by_name[workspace];
   if (!id.IsValid()) {
-    BudgetRow row;
+    TokenBudgetRow row;
     row.m_workspace = workspace;
     id = m_rows.Insert(std::move(row));
   }
   return m_rows.Get(id);
 }
 
-void TokenBudget::Measure(BudgetRow& row, TimePoint now) {
-  const Duration elapsed = now - row.m_measured;
-  if (elapsed < kMeasurePeriod) {
+void TokenBudget::UpdateDemandRate(TokenBudgetRow& row, TimePoint now) {
+  const Duration elapsed = now - row.m_measured_at;
+  if (elapsed < kDemandPeriod) {
     return;
   }
-  if (elapsed > kIdleAfter) {
-    row.m_demand = 0;
+  if (elapsed > kIdleTimeout) {
+    row.m_demand_rate = 0;
   } else {
-    const double rate = row.m_arrived / ToSeconds(elapsed);
-    row.m_demand += kSmoothing * (rate - row.m_demand);
+    const double rate = row.m_arrivals / ToSeconds(elapsed);
+    row.m_demand_rate += kDemandSmoothing * (rate - row.m_demand_rate);
   }
-  row.m_arrived = 0;
-  row.m_measured = now;
+  row.m_arrivals = 0;
+  row.m_measured_at = now;
 }
 
 void TokenBudget::OnArrival(const std::string& workspace, TimePoint now) {
-  BudgetRow& row = RowOf(workspace);
-  Measure(row, now);
-  row.m_arrived += 1;
-  row.m_last_arrival = now;
+  TokenBudgetRow& row = FindOrAddRow(workspace);
+  UpdateDemandRate(row, now);
+  row.m_arrivals += 1;
+  row.m_last_arrival_at = now;
 }
 
-bool TokenBudget::TryTake(const std::string& workspace, TimePoint now) {
-  BudgetRow& row = RowOf(workspace);
-  if (Stock(row, now) < 1) {
+bool TokenBudget::TryAcquire(const std::string& workspace, TimePoint now) {
+  TokenBudgetRow& row = FindOrAddRow(workspace);
+  if (CountStock(row, now) < 1) {
     return false;
   }
   double missing = 1;
-  for (BudgetRow::Share& share : row.m_shares) {
-    const double part = std::min(share.m_tokens, missing);
-    share.m_tokens -= part;
+  for (TokenBudgetRow::TokenBatch& batch : row.m_batches) {
+    const double part = std::min(batch.m_tokens, missing);
+    batch.m_tokens -= part;
     missing -= part;
-    row.m_spent += share.m_counted ? 0 : part;
+    row.m_unreported += batch.m_counted_as_spent ? 0 : part;
   }
   return true;
 }
 
-void TokenBudget::GiveBack(const std::string& workspace, TimePoint until) {
-  BudgetRow& row = RowOf(workspace);
-  if (row.m_spent >= 1) {
-    row.m_spent -= 1;
-    row.m_shares.push_back({1, until, false});
+void TokenBudget::ReturnToken(const std::string& workspace, TimePoint until) {
+  TokenBudgetRow& row = FindOrAddRow(workspace);
+  if (row.m_unreported >= 1) {
+    row.m_unreported -= 1;
+    row.m_batches.push_back({1, until, false});
   } else {
     // The holder counts it as used, so it is only used again here.
-    row.m_shares.push_back({1, until, true});
+    row.m_batches.push_back({1, until, true});
   }
 }
 
 void TokenBudget::AddWaiting(const std::string& workspace) {
-  ++RowOf(workspace).m_waiting;
+  ++FindOrAddRow(workspace).m_waiting;
 }
 
 void TokenBudget::RemoveWaiting(const std::string& workspace) {
-  --RowOf(workspace).m_waiting;
+  --FindOrAddRow(workspace).m_waiting;
 }
 
 bool TokenBudget::NeedsTokens(TimePoint now) {
   bool needed = false;
-  m_rows.ForEach([&](auto, BudgetRow& row) {
-    Measure(row, now);
-    const double stock = Stock(row, now);
+  m_rows.ForEach([&](auto, TokenBudgetRow& row) {
+    UpdateDemandRate(row, now);
+    const double stock = CountStock(row, now);
     const double target = m_strategy->Target(row);
-    const bool idle = now - row.m_last_arrival > kIdleAfter;
+    const bool idle = now - row.m_last_arrival_at > kIdleTimeout;
     needed = needed || row.m_waiting > 0 ||
-             (!idle && target > 0 && stock < target * kRefillPart) ||
-             (idle && (stock > 0 || row.m_spent > 0));
+             (!idle && target > 0 && stock < target * kRefillThreshold) ||
+             (idle && (stock > 0 || row.m_unreported > 0));
   });
   return needed;
 }
 
 std::vector<TokenDemand> TokenBudget::BuildDemands(TimePoint now) {
   std::vector<TokenDemand> demands;
-  m_rows.ForEach([&](auto, BudgetRow& row) {
-    Measure(row, now);
+  m_rows.ForEach([&](auto, TokenBudgetRow& row) {
+    UpdateDemandRate(row, now);
     const double target = m_strategy->Target(row);
-    const double surplus = Stock(row, now) - target;
+    const double surplus = CountStock(row, now) - target;
     TokenDemand demand;
     demand.m_workspace = row.m_workspace;
     // Reported once only: the holder may have taken in a report that got no
     // answer, and counting it twice would free tokens that are still out.
-    demand.m_spent = row.m_spent;
+    demand.m_spent = row.m_unreported;
     if (surplus > 0) {
-      demand.m_returned = TakeBack(row, std::floor(surplus));
+      demand.m_returned = ReclaimTokens(row, std::floor(surplus));
     } else {
       demand.m_wanted = -surplus;
       demand.m_waiting =
           std::min(demand.m_wanted, static_cast<double>(row.m_waiting));
     }
-    row.m_spent = 0;
-    row.m_asked = demand.m_wanted;
+    row.m_unreported = 0;
+    row.m_requested = demand.m_wanted;
     if (demand.m_spent > 0 || demand.m_returned > 0 || demand.m_wanted > 0) {
       demands.push_back(std::move(demand));
     }
@@ -165,25 +165,25 @@
   return demands;
 }
 
-void TokenBudget::OnGrants(const TokenResponse& response, TimePoint sent) {
+void TokenBudget::OnGrants(const TokenResponse& response, TimePoint sent_at) {
   for (const TokenGrant& grant : response.m_grants) {
-    BudgetRow& row = RowOf(grant.m_workspace);
-    const TimePoint until = sent + response.m_lifetime;
+    TokenBudgetRow& row = FindOrAddRow(grant.m_workspace);
+    const TimePoint until = sent_at + response.m_lifetime;
     const double stock = grant.m_tokens - grant.m_for_waiting;
     if (grant.m_for_waiting > 0) {
-      row.m_shares.push_back({grant.m_for_waiting, until, true});
+      row.m_batches.push_back({grant.m_for_waiting, until, true});
     }
     if (stock > 0) {
-      row.m_shares.push_back({stock, until, false});
+      row.m_batches.push_back({stock, until, false});
     }
-    if (grant.m_tokens < row.m_asked) {
-      row.m_denied = sent;
+    if (grant.m_tokens < row.m_requested) {
+      row.m_denied_at = sent_at;
     }
   }
 }
 
 bool TokenBudget::WasDenied(const std::string& workspace, TimePoint since) {
-  return RowOf(workspace).m_denied > since;
+  return FindOrAddRow(workspace).m_denied_at > since;
 }
 
 }  // namespace foxtail
--- a/src/traffic/token_budget.h
+++ b/src/traffic/token_budget.h
@@ -12,36 +12,36 @@
 namespace foxtail {
 
 /// What one entry knows of one workspace's demand and tokens.
-struct BudgetRow {
+struct TokenBudgetRow {
   std::string m_workspace;
 
   /// Tokens in hand, and until when they may be used.
-  struct Share {
+  struct TokenBatch {
     double m_tokens = 0;
     TimePoint m_until;
 
     /// The holder counts them as used already.
-    bool m_counted = false;
+    bool m_counted_as_spent = false;
   };
-  std::vector<Share> m_shares;
+  std::vector<TokenBatch> m_batches;
 
   /// Tokens used and not yet reported. A report that gets no answer is not
   /// repeated: those tokens run out at the holder instead.
-  double m_spent = 0;
+  double m_unreported = 0;
 
   /// Tokens asked for in the request on its way, and when the last request was
   /// sent that the holder answered with fewer than asked for.
-  double m_asked = 0;
-  TimePoint m_denied;
+  double m_requested = 0;
+  TimePoint m_denied_at;
 
   /// Requests that wait for a token.
   size_t m_waiting = 0;
 
   /// Requests since the last measurement, and their smoothed rate a second.
-  double m_arrived = 0;
-  double m_demand = 0;
-  TimePoint m_measured;
-  TimePoint m_last_arrival;
+  double m_arrivals = 0;
+  double m_demand_rate = 0;
+  TimePoint m_measured_at;
+  TimePoint m_last_arrival_at;
 };
 
 /// How many tokens an entry asks for.
@@ -50,14 +50,14 @@
   virtual ~ShareStrategy() = default;
 
   /// Returns the stock the entry wants to have for a workspace.
-  virtual double Target(const BudgetRow& row) const = 0;
+  virtual double Target(const TokenBudgetRow& row) const = 0;
 };
 
 /// The same stock whatever the demand; the baseline.
 class FixedShare : public ShareStrategy {
  public:
   explicit FixedShare(double tokens) : m_tokens(tokens) {}
-  double Target(const BudgetRow&) const override { return m_tokens; }
+  double Target(const TokenBudgetRow&) const override { return m_tokens; }
 
  private:
   double m_tokens;
@@ -68,7 +68,7 @@
 class DemandShare : public ShareStrategy {
  public:
   explicit DemandShare(Duration horizon) : m_horizon(horizon) {}
-  double Target(const BudgetRow& row) const override;
+  double Target(const TokenBudgetRow& row) const override;
 
  private:
   Duration m_horizon;
@@ -80,7 +80,7 @@
 class WholeDemandShare : public ShareStrategy {
  public:
   explicit WholeDemandShare(Duration horizon) : m_horizon(horizon) {}
-  double Target(const BudgetRow& row) const override;
+  double Target(const TokenBudgetRow& row) const override;
 
  private:
   Duration m_horizon;
@@ -95,10 +95,10 @@
   void OnArrival(const std::string& workspace, TimePoint now);
 
   /// Uses one token if there is one.
-  bool TryTake(const std::string& workspace, TimePoint now);
+  bool TryAcquire(const std::string& workspace, TimePoint now);
 
   /// Gives back the token of a request that did not run; usable until `until`.
-  void GiveBack(const std::string& workspace, TimePoint until);
+  void ReturnToken(const std::string& workspace, TimePoint until);
 
   /// Notes that a request begins or ceases to wait for a token.
   void AddWaiting(const std::string& workspace);
@@ -110,20 +110,20 @@
   /// Builds the demands to send. What is given back can no longer be used.
   std::vector<TokenDemand> BuildDemands(TimePoint now);
 
-  /// Takes in an answer to demands that were sent at `sent`.
-  void OnGrants(const TokenResponse& response, TimePoint sent);
+  /// Takes in an answer to demands that were sent at `sent_at`.
+  void OnGrants(const TokenResponse& response, TimePoint sent_at);
 
   /// Returns whether the holder gave the workspace fewer tokens than asked for
   /// in answer to a request sent after `since`.
   bool WasDenied(const std::string& workspace, TimePoint since);
 
  private:
-  BudgetRow& RowOf(const std::string& workspace);
-  void Measure(BudgetRow& row, TimePoint now);
+  TokenBudgetRow& FindOrAddRow(const std::string& workspace);
+  void UpdateDemandRate(TokenBudgetRow& row, TimePoint now);
 
   std::unique_ptr<ShareStrategy> m_strategy;
-  Table<BudgetRow> m_rows;
-  std::map<std::string, TypedId<BudgetRow>> m_by_name;
+  Table<TokenBudgetRow> m_rows;
+  std::map<std::string, TypedId<TokenBudgetRow>> m_by_name;
 };
 
 }  // namespace foxtail
--- a/src/traffic/token_holder.cc
+++ b/src/traffic/token_issuer.cc
@@ -1,4 +1,4 @@
-#include "traffic/token_holder.h"
+#include "traffic/token_issuer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 
 // Part of the burst that may be out at once. A holder that takes over may then
 // start at once with the rest as its limit, and nothing in stock.
-constexpr double kOutstandingPart = 0.5;
+constexpr double kMaxOutstandingFraction = 0.5;
 constexpr double kRoundingError = 1e-9;  // tokens
 
 // Tokens that are out: those of this holder, and all with what an earlier
@@ -18,7 +18,7 @@
   double m_all = 0;
 };
 
-OutstandingSum SumOutstanding(TokenRow& row, TimePoint now) {
+OutstandingSum SumOutstanding(IssuedTokensRow& row, TimePoint now) {
   std::erase_if(row.m_outstanding,
                 [&](const auto& out) { return now >= out.m_until; });
   OutstandingSum sum;
@@ -31,37 +31,39 @@
 
 // A burst under two tokens leaves no part to split: then one may be out.
 double OutstandingLimit(const TokenLimit& limit) {
-  return std::max(1.0, limit.m_burst * kOutstandingPart);
+  return std::max(1.0, limit.m_burst * kMaxOutstandingFraction);
 }
 
 // Adds what accrued. Stock and tokens that are out never exceed the burst.
-void Refill(TokenRow& row,
+void Refill(IssuedTokensRow& row,
             const TokenLimit& limit,
             double outstanding,
             TimePoint now) {
-  const double accrued = limit.m_rate * ToSeconds(now - row.m_updated);
-  row.m_level = std::min(row.m_level + accrued,
+  const double accrued = limit.m_rate * ToSeconds(now - row.m_refilled_at);
+  row.m_stock = std::min(row.m_stock + accrued,
                          std::max(0.0, limit.m_burst - outstanding));
-  row.m_updated = now;
+  row.m_refilled_at = now;
 }
 
 // Takes tokens of a dispatcher off what is out; returns how many there were.
-double Settle(TokenRow& row, const DispatcherName& dispatcher, double tokens) {
-  double settled = 0;
+double RemoveOutstanding(IssuedTokensRow& row,
+                         const DispatcherName& dispatcher,
+                         double tokens) {
+  double removed = 0;
   for (auto& out : row.m_outstanding) {
     if (out.m_dispatcher == dispatcher) {
-      const double part = std::min(out.m_tokens, tokens - settled);
+      const double part = std::min(out.m_tokens, tokens - removed);
       out.m_tokens -= part;
-      settled += part;
+      removed += part;
     }
   }
-  return settled;
+  return removed;
 }
 
 }  // namespace
 
-void TokenHolder::Begin(TimePoint now) {
-  m_began = now;
+void TokenIssuer::Begin(TimePoint now) {
+  m_began_at = now;
   m_rows.clear();
 }
 
@@ -69,11 +71,12 @@
 // nothing in stock and the largest possible amount out. Tokens of a holder
 // still earlier have run out: a takeover needs longer than their life, and a
 // planned stop holds the lease at least that long.
-TokenRow& TokenHolder::RowOf(const TokenLimit& limit, TimePoint now) {
+IssuedTokensRow& TokenIssuer::FindOrAddRow(const TokenLimit& limit,
+                                           TimePoint now) {
   const auto [row, added] = m_rows.try_emplace(limit.m_workspace);
   if (added) {
-    row->second.m_updated = m_began;
-    const TimePoint until = m_began + m_lifetime;
+    row->second.m_refilled_at = m_began_at;
+    const TimePoint until = m_began_at + m_token_ttl;
     if (now < until) {
       row->second.m_outstanding.push_back(
           {DispatcherName(), OutstandingLimit(limit), until});
@@ -82,34 +85,35 @@
   return row->second;
 }
 
-TokenGrant TokenHolder::Serve(const TokenLimit& limit,
+TokenGrant TokenIssuer::Serve(const TokenLimit& limit,
                               const DispatcherName& dispatcher,
                               const TokenDemand& demand,
                               TimePoint now) {
-  TokenRow& row = RowOf(limit, now);
-  Settle(row, dispatcher, demand.m_spent);
-  const double returned = Settle(row, dispatcher, demand.m_returned);
+  IssuedTokensRow& row = FindOrAddRow(limit, now);
+  RemoveOutstanding(row, dispatcher, demand.m_spent);
+  const double returned = RemoveOutstanding(row, dispatcher, demand.m_returned);
   const OutstandingSum outstanding = SumOutstanding(row, now);
   Refill(row, limit, outstanding.m_all, now);
-  row.m_level = std::min(row.m_level + returned,
+  row.m_stock = std::min(row.m_stock + returned,
                          std::max(0.0, limit.m_burst - outstanding.m_all));
   // Whole tokens only: a part of one admits nothing and would lie idle.
-  const double waiting =
-      std::floor(std::min(demand.m_waiting, row.m_level) + kRoundingError);
-  row.m_level -= waiting;
-  const double room =
+  const double for_waiting =
+      std::floor(std::min(demand.m_waiting, row.m_stock) + kRoundingError);
+  row.m_stock -= for_waiting;
+  const double allowance =
       std::max(0.0, OutstandingLimit(limit) - outstanding.m_own);
-  const double stock = std::floor(
-      std::max(0.0, std::min({demand.m_wanted - waiting, row.m_level, room})) +
-      kRoundingError);
+  const double stock =
+      std::floor(std::max(0.0, std::min({demand.m_wanted - for_waiting,
+                                         row.m_stock, allowance})) +
+                 kRoundingError);
   if (stock > 0) {
-    row.m_level -= stock;
-    row.m_outstanding.push_back({dispatcher, stock, now + m_lifetime});
+    row.m_stock -= stock;
+    row.m_outstanding.push_back({dispatcher, stock, now + m_token_ttl});
   }
   TokenGrant grant;
   grant.m_workspace = limit.m_workspace;
-  grant.m_tokens = waiting + stock;
-  grant.m_for_waiting = waiting;
+  grant.m_tokens = for_waiting + stock;
+  grant.m_for_waiting = for_waiting;
   return grant;
 }
 
--- a/src/traffic/token_holder.h
+++ b/src/traffic/token_issuer.h
@@ -19,9 +19,9 @@
 };
 
 /// Tokens of a workspace at their one holder.
-struct TokenRow {
-  double m_level = 0;
-  TimePoint m_updated;
+struct IssuedTokensRow {
+  double m_stock = 0;
+  TimePoint m_refilled_at;
 
   /// Tokens handed out that may still be used, until when each.
   struct Outstanding {
@@ -34,10 +34,10 @@
 
 /// Hands out the tokens of all workspaces. There is one holder at a time; stock
 /// and tokens that are out never exceed a workspace's burst.
-class TokenHolder {
+class TokenIssuer {
  public:
-  /// `lifetime` is how long a token counts as out, clock drift included.
-  explicit TokenHolder(Duration lifetime) : m_lifetime(lifetime) {}
+  /// `token_ttl` is how long a token counts as out, clock drift included.
+  explicit TokenIssuer(Duration token_ttl) : m_token_ttl(token_ttl) {}
 
   /// Begins as a new holder, which does not know what was handed out before.
   void Begin(TimePoint now);
@@ -49,11 +49,11 @@
                    TimePoint now);
 
  private:
-  TokenRow& RowOf(const TokenLimit& limit, TimePoint now);
+  IssuedTokensRow& FindOrAddRow(const TokenLimit& limit, TimePoint now);
 
-  Duration m_lifetime;
-  TimePoint m_began;
-  std::map<std::string, TokenRow> m_rows;
+  Duration m_token_ttl;
+  TimePoint m_began_at;
+  std::map<std::string, IssuedTokensRow> m_rows;
 };
 
 }  // namespace foxtail
--- a/src/traffic/traffic_tables.h
+++ b/src/traffic/traffic_tables.h
@@ -12,8 +12,8 @@
 #include "core/time.h"
 #include "messages/sync_messages.h"
 #include "traffic/concurrency_limit.h"
+#include "traffic/dedup_registry.h"
 #include "traffic/queue_strategy.h"
-#include "traffic/seen_registry.h"
 
 namespace foxtail {
 
@@ -32,10 +32,10 @@
   uint64_t m_fingerprint = 0;
 
   /// Nothing of the request runs at the server after this time.
-  TimePoint m_over_by;
+  TimePoint m_may_run_until;
 
-  /// No answer will come: the row stays until `m_over_by`.
-  bool m_lingering = false;
+  /// No answer will come: the row stays until `m_may_run_until`.
+  bool m_outcome_unknown = false;
 };
 
 /// A backend server that this thread dispatches to, or did until lately.
@@ -64,9 +64,9 @@
 };
 
 /// Request ids of a partition in hand, and the server it is in hand for.
-struct PartitionIds {
+struct PartitionDedup {
   DispatchServerId m_server;
-  SeenRegistry m_registry;
+  DedupRegistry m_registry;
 };
 
 /// What a traffic thread knows of one service's cell.
@@ -81,12 +81,12 @@
   std::map<std::string, DispatchServerId> m_servers;
 
   /// Ids of requests that may not be repeated, per partition in hand.
-  std::map<PartitionNumber, PartitionIds> m_seen;
+  std::map<PartitionNumber, PartitionDedup> m_dedup_registries;
 
   /// Memories of partitions let go, until a report with them was answered.
-  std::map<PartitionNumber, PartitionMemory> m_memories;
+  std::map<PartitionNumber, PartitionMemory> m_dedup_states;
   std::map<uint64_t, CrashSuspect> m_suspects;
-  std::unordered_set<uint64_t> m_condemned;
+  std::unordered_set<uint64_t> m_quarantined;
 
   /// Crash reports since the last sync request.
   std::vector<CrashSuspect> m_new_suspects;
--- a/tests/gateway/send_system_test.cc
+++ b/tests/gateway/send_system_test.cc
@@ -112,7 +112,7 @@
 TEST(PartChooserTest, SharesAreExactOverFewRequests) {
   RouteRow route;
   route.m_name = "r";
-  route.m_parts = {{"a", 90}, {"b", 10}};
+  route.m_services = {{"a", 90}, {"b", 10}};
   PartChooser chooser;
   std::map<std::string, int> counts;
   for (int i = 0; i < 20; ++i) {
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -42,7 +42,7 @@
   ASSERT_EQ(config.m_routes.size(), 1U);
   EXPECT_FALSE(config.m_routes[0].m_idempotent);
   EXPECT_EQ(config.m_routes[0].m_timeout, milliseconds(1200));
-  EXPECT_EQ(config.m_routes[0].m_parts.size(), 2U);
+  EXPECT_EQ(config.m_routes[0].m_services.size(), 2U);
   EXPECT_TRUE(config.m_services[0].m_sharded);
   EXPECT_EQ(config.m_workspaces[0].m_rate, 73);
   EXPECT_EQ(config.m_limits.m_idle_timeout, std::chrono::seconds(15));
--- a/tests/traffic/dispatch_system_test.cc
+++ b/tests/traffic/dispatch_system_test.cc
@@ -40,11 +40,11 @@
     return m_system.Apply("cell", response, m_now.m_steady, m_now);
   }
 
-  DispatchQuery Query(const std::string& name, bool repeatable = false) {
+  DispatchQuery Query(const std::string& name, bool idempotent = false) {
     DispatchQuery query;
     query.m_cell = "cell";
     query.m_id = {"1700000000000-" + name, m_now.m_wall};
-    query.m_repeatable = repeatable;
+    query.m_idempotent = idempotent;
     query.m_fingerprint = std::hash<std::string>()(name);
     query.m_deadline = m_now.m_steady + milliseconds(500);
     return query;
@@ -97,10 +97,10 @@
 TEST_F(DispatchSystemTest, SlotsAndQueueAreBounds) {
   ASSERT_TRUE(Apply());
   const DispatchServerId server = m_system.Admit(Query("a"), 1, m_now);
-  EXPECT_EQ(m_system.TakeSlot(server)->m_ticket, 1U);
+  EXPECT_EQ(m_system.AcquireSlot(server)->m_ticket, 1U);
   m_system.Admit(Query("b"), 2, m_now);
   m_system.Admit(Query("c"), 3, m_now);
-  EXPECT_FALSE(m_system.TakeSlot(server));
+  EXPECT_FALSE(m_system.AcquireSlot(server));
   EXPECT_EQ(AdmitFails(Query("d")), ErrorCode::kServerQueueFull);
 }
 
@@ -108,15 +108,16 @@
   ASSERT_TRUE(Apply());
   const DispatchQuery query = Query("a", true);
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
-  m_system.TakeSlot(server);
-  m_system.End(query, m_system.Begin(query, server), SendOutcome::kLost, "",
-               milliseconds(1), m_now.m_steady);
+  m_system.AcquireSlot(server);
+  m_system.End(query, m_system.Begin(query, server),
+               SendOutcome::kConnectionLost, "", milliseconds(1),
+               m_now.m_steady);
   ASSERT_EQ(Report().m_suspects.size(), 1U);
   m_system.Admit(query, 2, m_now);
-  const auto slot = m_system.TakeSlot(server);
+  const auto slot = m_system.AcquireSlot(server);
   ASSERT_TRUE(slot && slot->m_solo);
-  m_system.End(query, m_system.Begin(query, server), SendOutcome::kAnswered, "",
-               milliseconds(1), m_now.m_steady);
+  m_system.End(query, m_system.Begin(query, server), SendOutcome::kResponded,
+               "", milliseconds(1), m_now.m_steady);
   const SyncRequest report = Report();
   ASSERT_EQ(report.m_suspects.size(), 1U);
   EXPECT_TRUE(report.m_suspects[0].m_cleared);
@@ -126,15 +127,16 @@
   ASSERT_TRUE(Apply());
   const DispatchQuery query = Query("a");
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
-  m_system.TakeSlot(server);
-  m_system.End(query, m_system.Begin(query, server), SendOutcome::kLost, "",
-               milliseconds(1), m_now.m_steady);
+  m_system.AcquireSlot(server);
+  m_system.End(query, m_system.Begin(query, server),
+               SendOutcome::kConnectionLost, "", milliseconds(1),
+               m_now.m_steady);
   m_routes.m_partitions[0].m_held = true;
   ASSERT_TRUE(Apply());
   EXPECT_EQ(Report().m_draining.size(), 1U);
   m_now.m_steady += milliseconds(500);
   EXPECT_FALSE(m_system.Expire(m_now));
-  m_now.m_steady += DispatchSettings().m_wall_skew;
+  m_now.m_steady += DispatchSettings().m_max_wall_skew;
   EXPECT_TRUE(m_system.Expire(m_now));
   EXPECT_TRUE(Report().m_draining.empty());
 }
@@ -146,7 +148,7 @@
   const DispatchQuery ran = Query("ran");
   const DispatchQuery waits = Query("waits");
   const DispatchServerId server = m_system.Admit(ran, 1, m_now);
-  m_system.TakeSlot(server);
+  m_system.AcquireSlot(server);
   const InFlightId in_flight = m_system.Begin(ran, server);
   m_system.Admit(waits, 2, m_now);
   m_routes.m_partitions[0].m_held = true;
@@ -154,14 +156,14 @@
   // Not complete while the other one is in flight.
   EXPECT_TRUE(Report().m_memories.empty());
   m_system.Abandon(waits, server, 2);
-  EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kAnswered, "",
+  EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kResponded, "",
                            milliseconds(1), m_now.m_steady));
   const SyncRequest report = Report();
   ASSERT_EQ(report.m_memories.size(), 1U);
   ASSERT_EQ(report.m_memories[0].m_seen.size(), 1U);
   EXPECT_EQ(report.m_memories[0].m_seen[0].m_hash,
-            SeenRegistry::HashOf(ran.m_id));
-  m_system.OnReportAnswered(report);
+            DedupRegistry::HashOf(ran.m_id));
+  m_system.OnReportAcknowledged(report);
   EXPECT_TRUE(Report().m_memories.empty());
 }
 
--- a/tests/traffic/traffic_test.cc
+++ b/tests/traffic/traffic_test.cc
@@ -2,10 +2,10 @@
 
 #include "core/error.h"
 #include "traffic/concurrency_limit.h"
+#include "traffic/dedup_registry.h"
 #include "traffic/queue_strategy.h"
 #include "traffic/request_id.h"
 #include "traffic/retry_budget.h"
-#include "traffic/seen_registry.h"
 #include "traffic/token_budget.h"
 
 namespace foxtail {
@@ -42,8 +42,8 @@
   }
 }
 
-TEST(SeenRegistryTest, RepeatsAreKnownAndOldIdsDoubted) {
-  SeenRegistry registry(kNow, milliseconds(1000));
+TEST(DedupRegistryTest, RepeatsAreKnownAndOldIdsDoubted) {
+  DedupRegistry registry(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   registry.Accept(id, false, kNow);
   EXPECT_EQ(CodeOf([&] { registry.Accept(id, false, kNow); }),
@@ -58,8 +58,8 @@
   registry.Accept(id, false, kNow);
 }
 
-TEST(SeenRegistryTest, ExpiredIdIsDoubtedNotAccepted) {
-  SeenRegistry registry(kNow, milliseconds(1000));
+TEST(DedupRegistryTest, ExpiredIdIsDoubtedNotAccepted) {
+  DedupRegistry registry(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   registry.Accept(id, false, kNow);
   const WallTime later = kNow + milliseconds(1001);
@@ -69,11 +69,11 @@
             ErrorCode::kRequestUnverifiable);
 }
 
-TEST(SeenRegistryTest, MemoryMovesToTheNextDispatcher) {
-  SeenRegistry first(kNow, milliseconds(1000));
+TEST(DedupRegistryTest, MemoryMovesToTheNextDispatcher) {
+  DedupRegistry first(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   first.Accept(id, false, kNow);
-  SeenRegistry second(kNow + milliseconds(500), milliseconds(1000));
+  DedupRegistry second(kNow + milliseconds(500), milliseconds(1000));
   second.Import(first.Export(3));
   EXPECT_EQ(CodeOf([&] { second.Accept(id, false, kNow); }),
             ErrorCode::kRequestDuplicate);
@@ -110,11 +110,11 @@
   RampLimit limit{RampSettings()};
   EXPECT_EQ(limit.Limit(6), 1U);
   for (int i = 0; i < 60; ++i) {
-    limit.OnAnswer("run-1", milliseconds(i < 30 ? 50 : 10));
+    limit.OnResponse("run-1", milliseconds(i < 30 ? 50 : 10));
     EXPECT_EQ(limit.Limit(6), 1U) << i;
   }
   for (int i = 0; i < 400; ++i) {
-    limit.OnAnswer("run-1", milliseconds(10));
+    limit.OnResponse("run-1", milliseconds(10));
   }
   EXPECT_EQ(limit.Limit(6), 6U);
   limit.OnConnectionLost();
@@ -124,11 +124,11 @@
 TEST(RampLimitTest, SlownessWithoutNoticeMakesAServerCold) {
   RampLimit limit{RampSettings()};
   for (int i = 0; i < 400; ++i) {
-    limit.OnAnswer("run-1", milliseconds(10));
+    limit.OnResponse("run-1", milliseconds(10));
   }
   ASSERT_FALSE(limit.IsCold());
   for (int i = 0; i < 8; ++i) {
-    limit.OnAnswer("run-1", milliseconds(100));
+    limit.OnResponse("run-1", milliseconds(100));
   }
   EXPECT_TRUE(limit.IsCold());
 }
@@ -136,10 +136,10 @@
 TEST(RampLimitTest, ServerThatStaysSlowIsAcceptedInTheEnd) {
   RampLimit limit{RampSettings()};
   for (int i = 0; i < 400; ++i) {
-    limit.OnAnswer("run-1", milliseconds(10));
+    limit.OnResponse("run-1", milliseconds(10));
   }
   for (int i = 0; i < 1000; ++i) {
-    limit.OnAnswer("run-1", milliseconds(100));
+    limit.OnResponse("run-1", milliseconds(100));
   }
   EXPECT_FALSE(limit.IsCold());
 }
@@ -161,13 +161,13 @@
 TEST(TokenBudgetTest, TokensAreUsedOnceAndRunOut) {
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
-  EXPECT_FALSE(budget.TryTake("club", start));
+  EXPECT_FALSE(budget.TryAcquire("club", start));
   TokenResponse response;
   response.m_lifetime = milliseconds(1000);
   response.m_grants = {{"club", 2}};
   budget.OnGrants(response, start);
-  EXPECT_TRUE(budget.TryTake("club", start));
-  EXPECT_FALSE(budget.TryTake("club", start + milliseconds(1000)));
+  EXPECT_TRUE(budget.TryAcquire("club", start));
+  EXPECT_FALSE(budget.TryAcquire("club", start + milliseconds(1000)));
 }
 
 TEST(TokenBudgetTest, SpentTokensAreReportedOnceAndSurplusGivenBack) {
@@ -177,12 +177,12 @@
   response.m_lifetime = milliseconds(1000);
   response.m_grants = {{"club", 5}};
   budget.OnGrants(response, start);
-  ASSERT_TRUE(budget.TryTake("club", start));
+  ASSERT_TRUE(budget.TryAcquire("club", start));
   auto demands = budget.BuildDemands(start);
   ASSERT_EQ(demands.size(), 1U);
   EXPECT_EQ(demands[0].m_spent, 1);
   EXPECT_EQ(demands[0].m_returned, 4);
-  EXPECT_FALSE(budget.TryTake("club", start));
+  EXPECT_FALSE(budget.TryAcquire("club", start));
   EXPECT_TRUE(budget.BuildDemands(start).empty());
 }
 
