--- a/src/entry/client_handler.cc
+++ b/src/entry/client_handler.cc
@@ -20,7 +20,7 @@
 constexpr milliseconds kMinDeadline{1};
 constexpr milliseconds kMaxIdLead{250};
 
-// Another entry answers a little after the deadline at the latest.
+// Allows another entry's response to arrive shortly after the deadline.
 constexpr milliseconds kResponseMargin{20};
 
 constexpr milliseconds kInitialBackoff{2};
@@ -39,7 +39,7 @@
   return {target.substr(1, slash - 1), target.substr(slash, end - slash)};
 }
 
-// A route covers its path and everything below it.
+// A route covers its path and all paths below it; the longest path wins.
 const RouteConfig* FindRoute(const ServiceConfig& service,
                              const std::string& method,
                              const std::string& path) {
@@ -67,9 +67,12 @@
   std::string m_dispatcher_address;
   milliseconds m_backoff = kInitialBackoff;
 
-  /// An earlier attempt may have run, so "not run" is true no more.
+  /// An earlier attempt may have been executed, so errors must not report "not
+  /// run".
   bool m_may_have_run = false;
 
+  /// Returns the error for the client. "Not run" becomes "unknown" if an
+  /// earlier attempt may have been executed.
   Error ToClientError(const Error& error) const {
     const bool hidden =
         m_may_have_run && error.GetExecution() == Execution::kNotRun;
@@ -250,7 +253,7 @@
   }
 }
 
-// Returns whether the partition has an owner that may receive requests now.
+// Returns whether the partition has a dispatcher that may receive requests now.
 bool ClientHandler::ChooseDispatcher(RequestContext& context) const {
   const TrafficTables& tables = m_system.GetTables();
   const TrafficCellRow* cell =
@@ -296,9 +299,9 @@
               context.m_service);
 }
 
-// A request is sent again only if it is known not to have run, or if it may run
-// more than once. What waits for a change of routes costs the servers nothing;
-// everything else draws on the budget.
+// A request is retried only if it is known not to have been executed or if it
+// is idempotent. Retries that wait for new routes are free, because they add no
+// load to the servers; all other retries consume the retry budget.
 bool ClientHandler::MayRetry(const Error& error,
                              const RequestContext& context) {
   const bool not_run = error.GetExecution() == Execution::kNotRun;
@@ -319,7 +322,7 @@
   }
 }
 
-// Waits for new routes, at most for a jittered and growing time.
+// Waits for new routes, but no longer than an exponential backoff with jitter.
 void ClientHandler::BackOff(RequestContext& context) {
   std::uniform_int_distribution<int64_t> jitter(context.m_backoff.count() / 2,
                                                 context.m_backoff.count());
--- a/src/entry/client_handler.h
+++ b/src/entry/client_handler.h
@@ -17,18 +17,18 @@
 
 namespace foxtail {
 
-/// What a traffic thread knows about API keys, and until when it may use it.
+/// The API key data of a traffic thread, and until when it may be used.
 struct AccessState {
   std::shared_ptr<const AccessIndex> m_index;
   TimePoint m_fresh_until;
 };
 
-/// Answers callers: authenticates, limits, routes, forwards and retries one
-/// request at a time on its own fiber.
+/// Handles client requests: authenticates, rate-limits, routes, forwards and
+/// retries each request on the fiber that calls `Handle`.
 class ClientHandler {
  public:
-  /// `self_address` is the internal address of this thread; requests for it are
-  /// not sent over the network.
+  /// `self_address` is the internal address of this thread; requests to this
+  /// address are dispatched locally instead of over the network.
   ClientHandler(const EntrySettings& settings,
                 std::string self_address,
                 DispatchSystem& system,
@@ -39,7 +39,8 @@
                 EventLog& events,
                 Metrics& metrics);
 
-  /// Answers one request. Failures become their typed responses.
+  /// Handles one request and returns its response. Errors are returned as error
+  /// responses.
   HttpResponse Handle(HttpRequest& request);
 
  private:
--- a/src/entry/controller_finder.cc
+++ b/src/entry/controller_finder.cc
@@ -6,7 +6,7 @@
 namespace foxtail {
 namespace {
 
-// A process that did not answer is asked again after this time.
+// A process that did not respond is tried again after this time.
 constexpr std::chrono::milliseconds kAvoidancePeriod{1500};
 
 }  // namespace
@@ -28,7 +28,8 @@
   SelectNext(now);
 }
 
-// Hints are old just after a loss: they name the process that was lost.
+// Hints are stale just after a process was lost and may still name it, so a
+// hint to an avoided process is ignored.
 void ControllerFinder::OnNotController(const std::string& hint, TimePoint now) {
   const bool known =
       std::ranges::find(m_control_processes, hint) != m_control_processes.end();
--- a/src/entry/controller_finder.h
+++ b/src/entry/controller_finder.h
@@ -8,23 +8,26 @@
 
 namespace foxtail {
 
-/// Finds which control process holds a cell, from answers and failures.
+/// Finds the control process that controls a cell, based on responses and
+/// failures.
 class ControllerFinder {
  public:
-  /// `control_processes` are all control processes; at least one.
+  /// `control_processes`: addresses of all control processes; at least one.
   explicit ControllerFinder(std::vector<std::string> control_processes);
 
-  /// Address to ask next.
+  /// Returns the address to send the next request to.
   const std::string& GetCurrent() const { return m_current; }
 
-  /// The current process did not answer; it is left out for a while.
+  /// Records that the current process did not respond. It is avoided for a
+  /// while.
   void OnNoResponse(TimePoint now);
 
-  /// The current process is not the holder; `hint` may name who is.
+  /// Records that the current process does not control the cell. `hint` may be
+  /// the address of the process that does.
   void OnNotController(const std::string& hint, TimePoint now);
 
-  /// Returns whether all processes were asked since the last call that returned
-  /// true, so that a pause is due.
+  /// Returns whether as many attempts as there are processes were made since
+  /// the last call that returned true, so that a backoff is due.
   bool TakeBackoff();
 
  private:
@@ -34,6 +37,8 @@
   std::vector<std::string> m_control_processes;
   std::string m_current;
   size_t m_index = 0;
+
+  /// Attempts since the last backoff.
   size_t m_tried = 0;
   std::map<std::string, TimePoint> m_avoid_until;
 };
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -91,7 +91,8 @@
         !m_system.MaySend(*waiting->m_query, waiting->m_server, now)) {
       waiting->m_rejected = true;
       waiting->m_wakeup.Notify();
-      // It must not be given a slot before its fiber runs.
+      // Removed from the queue here, so that the request is not given a slot
+      // before its fiber runs.
       m_system.Abandon(*waiting->m_query, waiting->m_server, ticket);
     }
   }
@@ -132,7 +133,7 @@
   return BuildResponse(query, outcome, result);
 }
 
-// The one place that decides what a caller is told about execution.
+// The only place that decides what the client learns about execution.
 HttpResponse Dispatcher::BuildResponse(const DispatchQuery& query,
                                        SendOutcome outcome,
                                        ExchangeResult& result) {
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -11,25 +11,25 @@
 
 namespace foxtail {
 
-/// Sends requests to backend servers as `DispatchSystem` decides, on the fibers
-/// of one traffic thread.
+/// Sends requests to backend servers on the fibers of one traffic thread.
+/// `DispatchSystem` makes the decisions.
 class Dispatcher {
  public:
-  /// `trigger_report(cell)` is called when the controller should hear from this
-  /// thread at once.
+  /// `trigger_report(cell)` is called when this thread should report to the
+  /// cell's controller immediately.
   Dispatcher(DispatchSystem& system,
              EventLog& events,
              Metrics& metrics,
              std::function<void(const std::string&)> trigger_report);
 
-  /// Runs one request at its backend server and returns the server's answer.
-  /// Throws the typed failures of admission and sending.
+  /// Sends one request to its backend server and returns the server's response.
+  /// Throws `Error` if the request is not admitted or sending fails.
   HttpResponse Dispatch(const DispatchQuery& query, const HttpRequest& request);
 
-  /// Wakes requests that wait for a server they may no longer be sent to.
+  /// Rejects the waiting requests that may no longer be sent to their server.
   void RejectUnsendable();
 
-  /// Gives free slots to waiting requests of all servers.
+  /// Gives the free slots of all servers to waiting requests.
   void DispatchAllWaiting();
 
  private:
@@ -41,6 +41,7 @@
     bool m_rejected = false;
   };
 
+  /// Gives the free slots of a server to waiting requests.
   void DispatchWaiting(DispatchServerId server);
   void WaitForSlot(const DispatchQuery& query,
                    DispatchServerId server,
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-// Longer than a controller holds a request for news.
+// Longer than a controller holds a long poll.
 constexpr milliseconds kSyncTimeout{350};
 constexpr milliseconds kRetryDelay{20};
 
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -13,37 +13,36 @@
 
 namespace foxtail {
 
-/// The control thread of an entry: for each traffic thread and cell it carries
-/// reports to the cell's controller and answers back.
+/// The control thread of an entry. For each traffic thread and cell, it sends
+/// reports to the cell's controller and applies the responses to the thread.
 class EntryControl {
  public:
   EntryControl(const EntrySettings& settings,
                EventLog& events,
                std::vector<std::unique_ptr<TrafficThread>>& threads);
 
-  /// Starts the loops of the access cell; those of services follow as they
-  /// become known.
+  /// Starts the report loops of the access cell. The loops of the services
+  /// start when the access cell lists the services.
   void Start();
 
-  /// Sends a report of a thread and cell at once. Any thread may call
-  /// it.
+  /// Sends a report of a thread and cell immediately. Thread-safe.
   void TriggerReport(uint32_t thread, const std::string& cell);
 
-  /// Tells the controllers that no dispatch lease is wanted any more.
+  /// Reports to the controllers that this entry wants no more dispatch leases.
   void BeginShutdown();
 
-  /// Sends one last report of every reporter and returns when all are answered
-  /// or have failed.
+  /// Sends a final report of every thread and cell, and returns once each has a
+  /// response or has failed.
   void ReportAll();
 
-  /// Ends all loops; returns when they have ended.
+  /// Stops all report loops and returns once they have ended.
   void Stop();
 
-  /// Runs calls from other threads; runs in a fiber of the control thread.
+  /// Executes calls from other threads, in a fiber of the control thread.
   void Loop() { m_mailbox.Loop(); }
 
  private:
-  /// A thread and a cell.
+  /// Reports the state of one cell at one traffic thread.
   struct Reporter {
     Reporter(uint32_t thread,
              std::string cell,
@@ -56,7 +55,8 @@
     std::string m_cell;
     ControllerFinder m_finder;
 
-    /// One report beside the loop's is on its way; another one is wanted.
+    /// A report besides the loop's is in flight, and a further one is
+    /// requested.
     bool m_extra_report_in_flight = false;
     bool m_extra_report_requested = false;
   };
--- a/src/entry/forwarding.cc
+++ b/src/entry/forwarding.cc
@@ -27,7 +27,7 @@
 constexpr const char* kDeadlineUnixHeader = "x-foxtail-deadline-unix-ms";
 constexpr const char* kEpochHeader = "x-foxtail-epoch";
 
-// Fields that belong to one connection or that hold credentials.
+// Header fields that belong to one connection or that contain credentials.
 constexpr std::array kStrippedFields = {"connection",
                                         "keep-alive",
                                         "proxy-connection",
--- a/src/entry/forwarding.h
+++ b/src/entry/forwarding.h
@@ -10,21 +10,23 @@
 
 namespace foxtail {
 
-/// Header that says whether the request ran: "not_run", "ran" or "unknown".
+/// Header that states whether the request was executed: "not_run", "ran" or
+/// "unknown".
 inline constexpr const char* kExecutionHeader = "x-execution";
 
-/// Header that marks an error of the project in an answer between entries.
+/// Header that marks the error responses that entries send to each other, as
+/// opposed to a backend server's responses.
 inline constexpr const char* kErrorHeader = "x-foxtail-error";
 
-/// Returns the secret of "authorization: Bearer SECRET", or an empty text.
+/// Returns the secret of "authorization: Bearer SECRET", or an empty string.
 std::string BearerSecret(const HttpRequest& request);
 
-/// Removes from a caller's request everything that must not travel on: fields
-/// of the connection, credentials, and fields reserved for the project. Throws
-/// `Error(kRequestMalformed)` when the target holds the secret.
+/// Removes the header fields that must not be forwarded: fields of the
+/// connection, credentials, and fields reserved for the project. Throws
+/// `Error(kRequestMalformed)` if the target contains `secret`.
 void StripRequest(HttpRequest& request, const std::string& secret);
 
-/// Hash of what the request asks for: method, target and body.
+/// Returns the hash of the method, target and body.
 uint64_t FingerprintOf(const HttpRequest& request);
 
 /// Builds the request to a backend server from a stripped one.
@@ -33,7 +35,7 @@
                                 uint64_t epoch,
                                 const Now& now);
 
-/// Builds the answer to the caller from a backend server's.
+/// Builds the response to the client from a backend server's response.
 HttpResponse BuildClientResponse(HttpResponse response);
 
 /// Builds the request to another entry's dispatcher from a stripped one.
@@ -42,11 +44,11 @@
                                  const std::string& cluster_secret,
                                  TimePoint now);
 
-/// Takes the query out of a request built by `BuildDispatchRequest`. Throws
-/// `Error(kMessageMalformed)`.
+/// Extracts the query from a request built by `BuildDispatchRequest`, and
+/// strips the request. Throws `Error(kMessageMalformed)`.
 DispatchQuery ExtractDispatchQuery(HttpRequest& request, TimePoint now);
 
-/// Marks an error's response for another entry.
+/// Builds an error response to another entry, marked with `kErrorHeader`.
 HttpResponse BuildDispatchErrorResponse(const Error& error);
 
 }  // namespace foxtail
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -14,11 +14,11 @@
 
 constexpr milliseconds kRequestTimeout{250};
 
-// The stock is looked at this often even when nobody waits.
+// The stock is checked this often even when no request waits for a token.
 constexpr milliseconds kCheckPeriod{20};
 
-// Pause after an answer that gave less than was asked for, and after a
-// call that failed.
+// Delays before the next token request: after a response that granted fewer
+// tokens than requested, and after all control processes have failed.
 constexpr milliseconds kPartialGrantBackoff{5};
 constexpr milliseconds kFailureBackoff{20};
 
@@ -44,8 +44,8 @@
   m_budget.AddWaiting(workspace);
   bool acquired = false;
   const TimePoint refuse_at = std::min(deadline, start + m_token_wait);
-  // Until the holder has said that there are no tokens, the request may
-  // wait for its whole deadline: it is not known to be over its rate.
+  // Until the issuer has denied tokens, the workspace is not known to exceed
+  // its rate, so the request may wait until its deadline.
   while (!acquired) {
     const TimePoint now = Clock::now();
     const bool denied = m_budget.WasDenied(workspace, start);
--- a/src/entry/token_client.h
+++ b/src/entry/token_client.h
@@ -11,23 +11,24 @@
 
 namespace foxtail {
 
-/// Keeps the tokens of one traffic thread supplied by their holder.
+/// Requests rate limit tokens for one traffic thread from their issuer.
 class TokenClient {
  public:
-  /// `control_processes` are all control processes; any of them may be the
-  /// holder.
+  /// `control_processes`: addresses of all control processes; any of them may
+  /// be the issuer. `token_wait`: how long a request waits for a token that the
+  /// issuer denied.
   TokenClient(TokenBudget& budget,
               DispatcherName identity,
               std::vector<std::string> control_processes,
               std::string cluster_secret,
               Duration token_wait);
 
-  /// Takes one token, waiting for the holder if there is none. Throws
-  /// `Error(kRateExceeded)` when the holder gives none in time, or
-  /// `Error(kAccessStale)` when no holder answers.
+  /// Acquires one token and waits for the issuer if none is in stock. Throws
+  /// `Error(kRateExceeded)` if the issuer grants none in time, or
+  /// `Error(kAccessStale)` if no issuer responds.
   void Acquire(const std::string& workspace, TimePoint deadline);
 
-  /// Supplies tokens until `Stop`; runs in a fiber of its own.
+  /// Requests tokens as needed until `Stop`; runs in its own fiber.
   void Loop();
 
   void Stop();
--- a/src/entry/traffic_thread.cc
+++ b/src/entry/traffic_thread.cc
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-// Everything that lives on the thread.
+// The state that belongs to the thread; used on this thread only.
 class TrafficThread::Core {
  public:
   Core(TrafficThread& owner)
@@ -139,7 +139,8 @@
     } else if (m_system.Apply(report.m_cell, response, sent, now)) {
       m_dispatcher.RejectUnsendable();
       m_dispatcher.DispatchAllWaiting();
-      // Acknowledge new routes at once: a move may wait for it.
+      // New routes are acknowledged immediately, because a partition move may
+      // wait for the acknowledgement.
       if (response.m_routes) {
         m_owner.m_trigger_report(m_owner.m_index, report.m_cell);
       }
@@ -160,7 +161,7 @@
         [&](auto, const DispatchServerRow& server) {
           unreleased += now < server.m_lease_until || server.m_running > 0;
         });
-    // What was let go must also be reported, with the memories of it.
+    // Released partitions count until their deduplication state was reported.
     m_system.GetTables().m_cells.ForEach([&](auto, const TrafficCellRow& cell) {
       unreleased += cell.m_dedup_states.size();
     });
@@ -188,7 +189,7 @@
     return m_handler.Handle(request);
   }
 
-  // The balancer sends callers elsewhere once this fails.
+  // The load balancer sends clients elsewhere once the health check fails.
   HttpResponse Health() const {
     HttpResponse response;
     const bool ready = m_healthy && m_access.m_index &&
@@ -198,8 +199,8 @@
     return response;
   }
 
-  // A new entry takes callers once it can route to every service; a service
-  // without a controller holds it up for a while only.
+  // A new entry accepts clients once it has routes for every service. A service
+  // without a controller delays this by `kRoutesTimeout` at most.
   bool HasRoutes() const {
     if (Clock::now() >= m_started_at + kRoutesTimeout) {
       return true;
@@ -260,13 +261,13 @@
     --m_running_fibers;
   }
 
-  // The update of the traffic state. Requests do not wait for it.
+  // Updates the traffic state; runs once per tick. Requests do not wait for it.
   void Tick(const Now& now) {
-    const bool drained = m_system.Expire(now);  // 1. Drop what is over.
-    m_dispatcher.RejectUnsendable();            // 2. Lapsed leases.
-    m_dispatcher.DispatchAllWaiting();          // 3. Slots that came free.
-    LogStaleAccess(now);                        // 4. Word on API keys.
-    if (drained) {                              // 5. Tell the controllers.
+    const bool drained = m_system.Expire(now);  // 1. Remove expired rows.
+    m_dispatcher.RejectUnsendable();            // 2. Apply lapsed leases.
+    m_dispatcher.DispatchAllWaiting();          // 3. Use free slots.
+    LogStaleAccess(now);                        // 4. Check API key data.
+    if (drained) {                              // 5. Report the drain.
       m_system.GetTables().m_cells.ForEach(
           [&](auto, const TrafficCellRow& cell) {
             m_owner.m_trigger_report(m_owner.m_index, cell.m_name);
@@ -328,8 +329,8 @@
 }
 
 void TrafficThread::Start() {
-  // Shared, because the new thread may still be inside `set_value` when this
-  // one goes on.
+  // The promise is shared, because the new thread may still be inside
+  // `set_value` when this thread continues.
   auto started = std::make_shared<StartPromise>();
   auto outcome = started->get_future();
   m_thread = std::thread([this, started] { Run(*started); });
--- a/src/entry/traffic_thread.h
+++ b/src/entry/traffic_thread.h
@@ -15,13 +15,13 @@
 
 namespace foxtail {
 
-/// One thread that carries traffic: it accepts callers, dispatches to the
-/// backend servers whose leases it holds, and shares nothing with other threads
-/// but calls through its mailbox.
+/// A traffic thread: accepts client connections and dispatches requests to the
+/// backend servers whose leases it holds. Other threads interact with it only
+/// through its mailbox.
 class TrafficThread {
  public:
-  /// `index` is the number of the thread; `trigger_report(index, cell)` runs on
-  /// this thread when the controller should hear from it at once.
+  /// `index` is the number of the thread. `trigger_report(index, cell)` runs on
+  /// this thread when it should report to the cell's controller immediately.
   TrafficThread(
       const EntrySettings& settings,
       uint32_t index,
@@ -32,30 +32,30 @@
   TrafficThread(const TrafficThread&) = delete;
   TrafficThread& operator=(const TrafficThread&) = delete;
 
-  /// Starts the thread; returns once it listens. Throws
-  /// `Error(kSettingInvalid)` when an address is in use.
+  /// Starts the thread and returns once it listens. Throws
+  /// `Error(kSettingInvalid)` if an address is in use.
   void Start();
 
   /// Builds this thread's report for a cell.
   SyncRequest BuildReport(const std::string& cell);
 
-  /// Passes an answer to a report on to the thread.
+  /// Applies the response to a report that was sent at `sent`.
   void Apply(const SyncRequest& report,
              const SyncResponse& response,
              TimePoint sent);
 
-  /// Passes on that a report was not answered.
+  /// Records that a report got no usable response.
   void OnReportLost(const SyncRequest& report);
 
-  /// From now on the health check fails.
+  /// Makes the health check fail from now on.
   void FailHealth();
 
-  /// Returns how many dispatch leases and unreported memories the thread still
-  /// holds.
+  /// Returns the number of backend servers that the thread still leases or
+  /// sends to, plus the number of unreported deduplication states.
   size_t CountUnreleased();
 
-  /// Answers requests in progress and ends the thread. Returns whether all
-  /// requests were answered within `timeout`.
+  /// Completes the requests in progress and ends the thread. Returns whether
+  /// all requests were completed within `timeout`.
   bool Stop(Duration timeout);
 
   const DispatcherName& GetIdentity() const { return m_identity; }
@@ -63,7 +63,7 @@
  private:
   class Core;
 
-  /// Null, or why the thread could not start.
+  /// Null, or the reason why the thread could not start.
   using StartPromise = boost::fibers::promise<std::exception_ptr>;
 
   void Run(StartPromise& started);
--- a/src/routing/route_index.cc
+++ b/src/routing/route_index.cc
@@ -31,7 +31,8 @@
                                   std::string_view path) const {
   const auto routes = m_routes.find(std::string(WithoutPort(host)));
   if (routes != m_routes.end()) {
-    // Prefixes end with a slash, so only the path's own slashes can match.
+    // Prefixes end with a slash, so a prefix can only end at a slash of the
+    // path. The longest candidates are tried first.
     size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
       const auto found =
--- a/src/routing/route_index.h
+++ b/src/routing/route_index.h
@@ -10,7 +10,7 @@
 
 namespace foxtail {
 
-/// Finds routes, workspaces and services of one configuration version.
+/// Looks up routes, workspaces and services of one configuration version.
 class RouteIndex {
  public:
   explicit RouteIndex(RoutingConfig config);
@@ -18,18 +18,18 @@
   RouteIndex(const RouteIndex&) = delete;
   RouteIndex& operator=(const RouteIndex&) = delete;
 
-  /// Returns the route of a host with the longest prefix that begins the path.
-  /// Throws `Error(kRouteUnknown)`.
+  /// Returns the route of `host` whose prefix is the longest that matches
+  /// `path`. Throws `Error(kRouteUnknown)`.
   const RouteRow& Match(std::string_view host, std::string_view path) const;
 
-  /// Returns the workspace that holds an API key. Throws
+  /// Returns the workspace that an API key belongs to. Throws
   /// `Error(kApiKeyMissing)` or `Error(kApiKeyUnknown)`.
   const RoutedWorkspace& Authenticate(std::string_view api_key) const;
 
-  /// Returns the service, or null.
+  /// Returns the service, or null if it is not configured.
   const RoutedService* FindService(const std::string& name) const;
 
-  /// Returns the workspace, or null.
+  /// Returns the workspace, or null if it is not configured.
   const RoutedWorkspace* FindWorkspace(const std::string& name) const;
 
   const RoutingConfig& GetConfig() const { return m_config; }
@@ -37,7 +37,7 @@
  private:
   RoutingConfig m_config;
 
-  /// Per host, routes by prefix.
+  /// Routes by host name, then by prefix.
   std::unordered_map<std::string, std::map<std::string, const RouteRow*>>
       m_routes;
   std::unordered_map<std::string, const RoutedWorkspace*> m_keys;
--- a/src/traffic/access_index.cc
+++ b/src/traffic/access_index.cc
@@ -18,8 +18,8 @@
 
 const WorkspaceConfig& AccessIndex::Authenticate(
     std::string_view secret) const {
-  // Looking up a digest leaks nothing useful by its timing: the caller cannot
-  // choose digests.
+  // The lookup need not run in constant time: a client cannot choose digests,
+  // so the timing reveals nothing useful about stored keys.
   const auto found = m_by_digest.find(SecretDigest(secret));
   if (found == m_by_digest.end()) {
     throw Error(ErrorCode::kApiKeyUnknown);
--- a/src/traffic/access_index.h
+++ b/src/traffic/access_index.h
@@ -9,7 +9,7 @@
 
 namespace foxtail {
 
-/// Finds the workspace of an API key. Immutable once built.
+/// Looks up the workspace of an API key. Immutable once built.
 class AccessIndex {
  public:
   explicit AccessIndex(std::shared_ptr<const AccessView> view);
@@ -17,7 +17,8 @@
   /// Returns the workspace of a secret. Throws `Error(kApiKeyUnknown)`.
   const WorkspaceConfig& Authenticate(std::string_view secret) const;
 
-  /// Throws `Error(kWorkspaceNotAllowed)` unless the workspace may call it.
+  /// Throws `Error(kWorkspaceNotAllowed)` unless the workspace may call the
+  /// service.
   static void RequireAllowed(const WorkspaceConfig& workspace,
                              const std::string& service);
 
--- a/src/traffic/concurrency_limit.cc
+++ b/src/traffic/concurrency_limit.cc
@@ -8,11 +8,11 @@
 constexpr double kBaselineSmoothing = 0.05;
 constexpr double kBaselineGrowth = 1.02;
 
-// A step whose mean latency is below this part of the one before is an
-// improvement.
+// A step whose mean latency is below this fraction of the previous step's mean
+// is an improvement.
 constexpr double kPlateauRatio = 0.8;
 
-// A limit this high exceeds any server's slots: the ramp is over.
+// A limit this high exceeds the slots of any server, so the ramp is complete.
 constexpr uint32_t kRampEndLimit = 64;
 
 }  // namespace
@@ -31,7 +31,7 @@
   m_previous_step_mean = 0;
 }
 
-// A server that still becomes faster from step to step is not warm yet.
+// A server whose latency still improves from step to step is not warm yet.
 bool RampLimit::FinishStep() {
   const double mean = m_step_seconds / m_step_responses;
   const bool plateau =
@@ -55,7 +55,8 @@
   const double ratio =
       IsCold() ? m_settings.m_warm_ratio : m_settings.m_slow_ratio;
   if (ExceedsBaseline(latency, ratio)) {
-    // A server that stays slow is accepted as it is in the end.
+    // The baseline rises with each slow response, so that a server that stays
+    // slow is eventually treated as warm at its new latency.
     m_baseline_seconds *= kBaselineGrowth;
     if (!IsCold() && ++m_slow_streak >= m_settings.m_slow_streak_limit) {
       BecomeCold();
@@ -85,7 +86,8 @@
   }
 }
 
-// A server that was restarted is cold before its first answer can tell.
+// A broken connection can mean a restart, and a restarted server is cold before
+// its first response can show a new instance id.
 void RampLimit::OnConnectionLost() {
   BecomeCold();
 }
--- a/src/traffic/concurrency_limit.h
+++ b/src/traffic/concurrency_limit.h
@@ -8,29 +8,30 @@
 
 namespace foxtail {
 
-/// How many requests one backend server may run at once, given what its
-/// dispatcher saw of it.
+/// Limits the number of concurrent requests to one backend server, based on the
+/// responses and failures that its dispatcher observed.
 class ConcurrencyLimit {
  public:
   virtual ~ConcurrencyLimit() = default;
 
-  /// Returns the limit for a server with this many slots; at least 1.
+  /// Returns the limit, in requests, for a server with `slots` slots; at
+  /// least 1.
   virtual uint32_t Limit(uint32_t slots) const = 0;
 
-  /// The server answered; `instance` is the id of its run.
+  /// Records a response. `instance` identifies the server's current process.
   virtual void OnResponse(const std::string& instance, Duration latency) = 0;
 
-  /// The server refused a request without running it.
+  /// Records that the server refused a request without executing it.
   virtual void OnRefusal() = 0;
 
-  /// A connection broke or could not be made.
+  /// Records that a connection broke or could not be established.
   virtual void OnConnectionLost() = 0;
 
-  /// Returns whether the server counts as cold.
+  /// Returns whether the server is considered cold.
   virtual bool IsCold() const = 0;
 };
 
-/// Always allows all slots; the baseline.
+/// Always allows all slots; the baseline strategy.
 class FixedLimit : public ConcurrencyLimit {
  public:
   uint32_t Limit(uint32_t slots) const override { return slots; }
@@ -42,27 +43,30 @@
 
 /// Settings of `RampLimit`.
 struct RampSettings {
-  /// Answers that double the limit of a cold server.
+  /// Number of responses per ramp step. The limit of a cold server can double
+  /// after each step.
   uint32_t m_responses_per_step = 20;
 
-  /// Latency relative to the usual one that counts as slow.
+  /// Latency relative to the baseline above which a response of a warm server
+  /// counts as slow.
   double m_slow_ratio = 4;
 
-  /// Latency relative to the usual one above which an answer of a cold server
-  /// does not count as a step to warmth.
+  /// Latency relative to the baseline above which a response of a cold server
+  /// does not count towards the ramp step.
   double m_warm_ratio = 2;
 
-  /// Slow answers or failures in a row that make a server cold.
+  /// Consecutive slow responses or refusals that make a server cold.
   uint32_t m_slow_streak_limit = 8;
 
-  /// Answers slower than this are never ordinary noise.
+  /// Responses up to this latency never count as slow; differences below it are
+  /// noise.
   std::chrono::milliseconds m_min_slow_latency{5};
 };
 
-/// Starts a cold server with one request at a time and doubles the limit once
-/// its answers no longer become faster. A server is cold when its run changed,
-/// when a connection broke, or when it became slow or refused often without
-/// notice.
+/// Limits a cold server to one request at a time and doubles the limit whenever
+/// the mean latency stops improving from step to step. A server is cold after
+/// its process was replaced, after a connection broke, and after a run of slow
+/// responses or refusals.
 class RampLimit : public ConcurrencyLimit {
  public:
   explicit RampLimit(const RampSettings& settings);
@@ -77,7 +81,10 @@
   static constexpr uint32_t kNoLimit = 1U << 20U;
 
   void BecomeCold();
+
+  /// Ends a ramp step. Returns whether its mean latency has stopped improving.
   bool FinishStep();
+
   bool ExceedsBaseline(Duration latency, double ratio) const;
 
   RampSettings m_settings;
@@ -86,9 +93,12 @@
   uint32_t m_step_responses = 0;
   uint32_t m_slow_streak = 0;
 
-  /// Latencies of this step's answers, and the mean of the step before.
+  /// Sum of the latencies of the current ramp step and mean latency of the
+  /// previous step, in seconds.
   double m_step_seconds = 0;
   double m_previous_step_mean = 0;
+
+  /// Usual latency of the warm server, in seconds; 0 until it was warm once.
   double m_baseline_seconds = 0;
 };
 
--- a/src/traffic/dedup_registry.h
+++ b/src/traffic/dedup_registry.h
@@ -9,32 +9,33 @@
 
 namespace foxtail {
 
-/// Request ids of one partition that may not be repeated. A repeat is told from
-/// a first request for as long as the dispatcher keeps the partition.
+/// Ids of the non-idempotent requests accepted for one partition. Detects
+/// duplicates for as long as the dispatcher keeps the partition.
 class DedupRegistry {
  public:
-  /// `known_since`: every id issued from then on is known. `retention`: how
-  /// long ids are kept.
+  /// `known_since`: the registry contains every accepted id that was issued at
+  /// or after this time. `retention`: how long ids are kept.
   DedupRegistry(WallTime known_since, Duration retention);
 
-  /// Notes an id. Throws `Error(kRequestDuplicate)` when it was noted before
-  /// and, unless it is `fresh`, `Error(kRequestUnverifiable)` when it is too
-  /// old to tell.
+  /// Records an id. Throws `Error(kRequestDuplicate)` if the id is already
+  /// recorded. Throws `Error(kRequestUnverifiable)` if the id is too old to
+  /// rule out an earlier request, unless it is `fresh` (never sent before).
   void Accept(const RequestId& id, bool fresh, WallTime now);
 
-  /// Forgets an id whose request is known not to have run.
+  /// Removes an id whose request is known not to have been executed.
   void Forget(const RequestId& id);
 
-  /// Drops ids older than the retention.
+  /// Removes ids older than the retention.
   void Expire(WallTime now);
 
-  /// Returns the content to hand over.
+  /// Returns the state for the partition's next dispatcher.
   PartitionMemory Export(PartitionNumber number) const;
 
-  /// Takes in what another dispatcher handed over.
+  /// Adds the ids of the partition's previous dispatcher and adopts its
+  /// `known_since`.
   void Import(const PartitionMemory& state);
 
-  /// Hash by which an id is kept.
+  /// Returns the hash under which an id is stored.
   static uint64_t HashOf(const RequestId& id);
 
   size_t size() const { return m_issued_times.size(); }
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -8,7 +8,7 @@
 namespace foxtail {
 namespace {
 
-// Loads reported in one sync request; the busiest partitions come first.
+// Maximum number of loads in one sync request; the highest come first.
 constexpr size_t kMaxReportedLoads = 32;
 
 std::vector<PartitionLoad> SelectHighestLoads(
@@ -75,7 +75,7 @@
   const bool newer_epoch = response.m_control_epoch > cell.m_control_epoch;
   const bool newer_number = response.m_control_epoch == cell.m_control_epoch &&
                             response.m_number > cell.m_applied_number;
-  // A new controller's first answer must bring its routes.
+  // The first response of a new controller must contain its routes.
   if ((!newer_epoch && !newer_number) || (newer_epoch && !response.m_routes) ||
       response.m_config_version < cell.m_config_version) {
     return false;
@@ -92,8 +92,8 @@
   return true;
 }
 
-// Once a lease has lapsed another dispatcher may have accepted requests, so the
-// ids known here are no longer all ids.
+// Once a lease has lapsed, another dispatcher may have accepted requests, so
+// the registry is no longer complete.
 void DispatchSystem::DropLapsedRegistries(TrafficCellRow& cell, TimePoint now) {
   std::erase_if(cell.m_dedup_registries, [&](const auto& entry) {
     return now >= m_tables.m_servers.Get(entry.second.m_server).m_lease_until;
@@ -138,8 +138,8 @@
   }
 }
 
-// Each partition in hand has a registry; one that was let go becomes a state
-// for its next dispatcher.
+// Each partition that this thread dispatches has a registry. The registry of a
+// released partition is exported for the partition's next dispatcher.
 void DispatchSystem::UpdateDedupRegistries(TrafficCellRow& cell,
                                            const SyncResponse& response,
                                            const Now& now) {
@@ -229,7 +229,8 @@
   });
   request.m_draining_servers = {draining_servers.begin(),
                                 draining_servers.end()};
-  // A state is complete once it is known of each request whether it ran.
+  // A deduplication state is complete only once the outcome of every request in
+  // flight is known.
   for (const auto& [number, state] : cell->m_dedup_states) {
     if (!draining.contains(number)) {
       request.m_memories.push_back(state);
@@ -337,7 +338,7 @@
   if (!server || server->m_exclusive) {
     return std::nullopt;
   }
-  // Suspects and others take turns, so that neither keeps the other waiting.
+  // Suspects and other requests alternate, so that neither starves the other.
   const bool others_waiting = server->m_queue->size() > 0;
   const bool suspects_turn = server->m_suspect_queue.size() > 0 &&
                              (server->m_suspect_turn || !others_waiting);
@@ -392,7 +393,7 @@
   row.m_partition = query.m_partition;
   row.m_epoch = partition->m_epoch;
   row.m_fingerprint = query.m_fingerprint;
-  // The server judges the deadline by its own wall clock.
+  // The server checks the deadline against its own wall clock.
   row.m_may_run_until = query.m_deadline + m_settings.m_max_wall_skew;
   return m_tables.m_in_flight.Insert(row);
 }
@@ -445,8 +446,8 @@
   return draining;
 }
 
-// Others in flight at the same server share the suspicion; each of them reports
-// itself when its own connection breaks.
+// The other requests in flight at the same server are suspects too. Each is
+// recorded when its own connection breaks.
 void DispatchSystem::RecordCrash(const InFlightRow& crashed, bool solo) {
   const DispatchServerRow& server = m_tables.m_servers.Get(crashed.m_server);
   TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
@@ -455,7 +456,8 @@
   report.m_solo_crashes = solo ? 1 : 0;
   report.m_shared_crashes = solo ? 0 : 1;
   cell.m_new_suspects.push_back(report);
-  // Until the controller's word comes back, this thread knows already.
+  // This thread isolates the suspect immediately, before the controller's
+  // suspects arrive with the next routes.
   cell.m_suspects.emplace(crashed.m_fingerprint, report);
 }
 
--- a/src/traffic/dispatch_system.h
+++ b/src/traffic/dispatch_system.h
@@ -11,7 +11,7 @@
 
 namespace foxtail {
 
-/// Makes the strategy objects of a dispatched server.
+/// Factories of the strategy objects of each backend server.
 struct DispatchStrategies {
   std::function<std::unique_ptr<QueueStrategy>()> m_queue;
   std::function<std::unique_ptr<ConcurrencyLimit>()> m_limit;
@@ -19,17 +19,17 @@
 
 /// Settings of the dispatch decisions.
 struct DispatchSettings {
-  /// How long request ids are remembered.
+  /// How long request ids are kept for deduplication.
   std::chrono::milliseconds m_id_retention{60'000};
 
-  /// How far ahead of this host's wall clock a request id may be issued.
+  /// Maximum time by which a request id may be ahead of this host's wall clock.
   std::chrono::milliseconds m_max_id_lead{250};
 
-  /// Largest difference between two hosts' wall clocks.
+  /// Maximum difference between the wall clocks of two hosts.
   std::chrono::milliseconds m_max_wall_skew{50};
 };
 
-/// A request as the dispatch decisions see it.
+/// The properties of a request that the dispatch decisions depend on.
 struct DispatchQuery {
   std::string m_cell;
   PartitionNumber m_partition = 0;
@@ -38,8 +38,8 @@
   RequestId m_id;
   bool m_idempotent = false;
 
-  /// The entry made the id itself and never sent it before, so no dispatcher
-  /// can have seen it.
+  /// The entry created the id itself and has not sent it before, so no
+  /// dispatcher can have accepted it.
   bool m_fresh = false;
 
   /// Hash of method, target and body.
@@ -47,56 +47,58 @@
   TimePoint m_deadline;
 };
 
-/// How a request to a backend server ended, as far as it can be told.
+/// How a request to a backend server ended, as observed by the dispatcher.
 enum class SendOutcome {
-  /// A whole answer arrived.
+  /// A complete response arrived.
   kResponded,
-  /// The server said that it did not run the request.
+  /// The server reported that it did not execute the request.
   kRefused,
-  /// No byte of the request left.
+  /// No byte of the request was sent.
   kNotSent,
-  /// The connection broke after the request may have left.
+  /// The connection broke after some of the request may have been sent.
   kConnectionLost,
-  /// No answer within the deadline; the server gives up by itself.
+  /// No response arrived within the deadline; the server stops on its own.
   kTimedOut,
 };
 
-/// The dispatch decisions of one traffic thread: which requests may be sent
-/// to which backend server, in which order, and what the outcomes mean. It
-/// sends nothing itself.
+/// Makes the dispatch decisions of one traffic thread: which requests may be
+/// sent to which backend server, in which order, and how outcomes change the
+/// state. The system performs no I/O; `Dispatcher` sends the requests.
 class DispatchSystem {
  public:
   DispatchSystem(const DispatchSettings& settings,
                  DispatchStrategies strategies);
 
-  /// Acts on an answer to a sync request that was sent at `sent_at`. Answers
-  /// that were overtaken or arrive after their authority ended are ignored.
-  /// Returns whether anything changed.
+  /// Applies the response to a sync request that was sent at `sent_at`.
+  /// Responses that are older than the applied one, or that arrive after their
+  /// authority ended, are ignored. Returns whether the response was applied.
   bool Apply(const std::string& cell,
              const SyncResponse& response,
              TimePoint sent_at,
              const Now& now);
 
-  /// Builds the report for the next sync request of a cell. Observations and
-  /// loads are taken; memories stay until `OnReportAcknowledged`.
+  /// Fills in the report of the next sync request of a cell. Observations and
+  /// loads are reset; deduplication states stay until `OnReportAcknowledged`.
   void FillReport(const std::string& cell,
                   SyncRequest& request,
                   const Now& now);
 
-  /// The report was answered, so its memories need no repetition.
+  /// Drops the deduplication states that the controller has now received.
   void OnReportAcknowledged(const SyncRequest& request);
 
-  /// The report was not answered: its suspects must be reported again.
+  /// Queues the crash suspects of a report without a response to be reported
+  /// again.
   void OnReportLost(const SyncRequest& request);
 
   /// Admits a request to the queue of its server. Throws `kNotDispatcher`,
   /// `kRequestQuarantined`, `kRequestDuplicate`, `kRequestUnverifiable` or
-  /// `kServerQueueFull`. The caller must end it with `Abandon` or `Begin`.
+  /// `kServerQueueFull`. The caller must follow up with `Abandon` or `Begin`.
   DispatchServerId Admit(const DispatchQuery& query,
                          TicketNumber ticket,
                          const Now& now);
 
-  /// Removes a request that no longer waits for a slot; it did not run.
+  /// Removes a request that was not executed from the queue and from the
+  /// deduplication state.
   void Abandon(const DispatchQuery& query,
                DispatchServerId server,
                TicketNumber ticket);
@@ -105,28 +107,28 @@
   struct Slot {
     TicketNumber m_ticket = 0;
 
-    /// The request must be the only one at the server.
+    /// The request must run alone at the server.
     bool m_solo = false;
   };
 
-  /// Returns the next waiting request that may occupy a slot now, if any. The
-  /// slot is taken.
+  /// Acquires a slot for the next waiting request that may run now, if any.
   std::optional<Slot> AcquireSlot(DispatchServerId server);
 
-  /// Gives a taken slot back without having sent anything.
+  /// Releases an acquired slot.
   void ReleaseSlot(DispatchServerId server);
 
-  /// Returns whether the request may be sent at this moment; the last check
-  /// before its first byte.
+  /// Returns whether the request may be sent at `now`; the final check before
+  /// its first byte is sent.
   bool MaySend(const DispatchQuery& query,
                DispatchServerId server,
                TimePoint now) const;
 
-  /// Notes that a request is sent, which holds its slot.
+  /// Records that a request is being sent. The request keeps its slot.
   InFlightId Begin(const DispatchQuery& query, DispatchServerId server);
 
-  /// Notes how a sent request ended and frees its slot. Returns whether the
-  /// controller waits for it because its partition is being let go.
+  /// Records the outcome of a sent request and releases its slot. Returns
+  /// whether the request was draining, so that the controller waits for a
+  /// report.
   bool End(const DispatchQuery& query,
            InFlightId in_flight,
            SendOutcome outcome,
@@ -134,15 +136,17 @@
            Duration latency,
            TimePoint now);
 
-  /// Returns the route of a query's server: address, slots and epoch.
+  /// The server address and the epoch of a partition.
   struct Target {
     std::string m_address;
     uint64_t m_epoch = 0;
   };
+
+  /// Returns where to send a request, if its partition has a route.
   std::optional<Target> TargetOf(const DispatchQuery& query) const;
 
-  /// Drops requests that are surely over and old ids. Returns whether a drain
-  /// came to its end.
+  /// Removes requests that can no longer be executing, and expired ids. Returns
+  /// whether a draining request was among them.
   bool Expire(const Now& now);
 
   TrafficTables& GetTables() { return m_tables; }
--- a/src/traffic/queue_strategy.cc
+++ b/src/traffic/queue_strategy.cc
@@ -39,7 +39,7 @@
   m_virtual_time = first->first.m_start;
   m_waiting.erase(first);
   if (m_waiting.empty()) {
-    // An idle queue owes nobody anything.
+    // An empty queue starts over: past use gives no workspace a disadvantage.
     m_finish_times.clear();
     m_virtual_time = 0;
   }
--- a/src/traffic/queue_strategy.h
+++ b/src/traffic/queue_strategy.h
@@ -10,7 +10,7 @@
 
 namespace foxtail {
 
-/// Number of a request that waits for a slot.
+/// Identifies a request that waits for a slot.
 using TicketNumber = uint64_t;
 
 /// Order in which waiting requests receive the slots of a backend server.
@@ -26,13 +26,13 @@
   /// Removes and returns the next request, if any.
   virtual std::optional<TicketNumber> Pop() = 0;
 
-  /// Removes a request that no longer waits; unknown numbers are ignored.
+  /// Removes a request that no longer waits; unknown tickets are ignored.
   virtual void Remove(TicketNumber ticket) = 0;
 
   virtual size_t size() const = 0;
 };
 
-/// First come, first served; the baseline.
+/// First come, first served; the baseline strategy.
 class FifoQueue : public QueueStrategy {
  public:
   void Push(TicketNumber ticket,
@@ -46,8 +46,8 @@
   std::deque<TicketNumber> m_tickets;
 };
 
-/// Start-time fair queueing: workspaces share the slots by weight, whatever
-/// number of requests each has waiting.
+/// Start-time fair queueing: workspaces share the slots by weight, regardless
+/// of the number of waiting requests of each.
 class FairQueue : public QueueStrategy {
  public:
   void Push(TicketNumber ticket,
@@ -65,6 +65,8 @@
   };
 
   std::map<SortKey, std::string> m_waiting;
+
+  /// Virtual finish time of the last queued request, by workspace.
   std::map<std::string, double> m_finish_times;
   double m_virtual_time = 0;
 };
--- a/src/traffic/request_id.h
+++ b/src/traffic/request_id.h
@@ -8,20 +8,21 @@
 
 namespace foxtail {
 
-/// A request id of the form UNIX_MILLISECONDS-NAME. The time lets a dispatcher
-/// tell whether it must know an earlier request with the same id.
+/// A request id of the form UNIX_MILLISECONDS-NAME. From the time, a dispatcher
+/// determines whether its deduplication state would contain an earlier request
+/// with the same id.
 struct RequestId {
   std::string m_text;
   WallTime m_issued;
 };
 
-/// Reads an id. Throws `Error(kRequestIdMalformed)` when it has another form or
-/// was issued more than `max_lead` after `now`.
+/// Parses an id. Throws `Error(kRequestIdMalformed)` if the form is wrong or if
+/// the id was issued more than `max_lead` after `now`.
 RequestId ParseRequestId(std::string_view text,
                          WallTime now,
                          Duration max_lead);
 
-/// Makes a new id that was issued at `now`.
+/// Creates a random id that is issued at `now`.
 RequestId MakeRequestId(WallTime now);
 
 }  // namespace foxtail
--- a/src/traffic/retry_budget.h
+++ b/src/traffic/retry_budget.h
@@ -6,14 +6,14 @@
 /// multiply the load on servers that already fail.
 class RetryBudget {
  public:
-  /// `ratio`: retries earned by each first attempt. `reserve`: most retries
-  /// that can be saved up.
+  /// `ratio`: retries earned by each first attempt. `reserve`: maximum number
+  /// of unused retries, and the number at the start.
   RetryBudget(double ratio, double reserve);
 
-  /// Notes a first attempt.
+  /// Records a first attempt.
   void OnRequest();
 
-  /// Takes one retry if the budget has one.
+  /// Consumes one retry if the budget has one. Returns whether it had.
   bool TryRetry();
 
  private:
--- a/src/traffic/token_budget.cc
+++ b/src/traffic/token_budget.cc
@@ -12,7 +12,7 @@
 constexpr milliseconds kIdleTimeout{1000};
 constexpr double kDemandSmoothing = 0.4;
 
-// A refill is asked for when the stock is under this part of the target, so
+// A refill is requested when the stock is below this fraction of the target, so
 // that it arrives before the stock is used up.
 constexpr double kRefillThreshold = 0.5;
 
@@ -27,8 +27,8 @@
   return sum;
 }
 
-// Gives up the newest tokens first; the oldest are used first. What the holder
-// counts as used cannot be given back.
+// Takes the newest tokens first, because the oldest are used first. Tokens that
+// the issuer already counts as used cannot be returned.
 double ReclaimTokens(TokenBudgetRow& row, double tokens) {
   double taken = 0;
   for (auto batch = row.m_batches.rbegin(); batch != row.m_batches.rend();
@@ -111,7 +111,8 @@
     row.m_unreported -= 1;
     row.m_batches.push_back({1, until, false});
   } else {
-    // The holder counts it as used, so it is only used again here.
+    // The issuer already counts the token as used, so it can only be reused on
+    // this thread and must not be reported or returned.
     row.m_batches.push_back({1, until, true});
   }
 }
@@ -146,8 +147,9 @@
     const double surplus = CountStock(row, now) - target;
     TokenDemand demand;
     demand.m_workspace = row.m_workspace;
-    // Reported once only: the holder may have taken in a report that got no
-    // answer, and counting it twice would free tokens that are still out.
+    // Used tokens are reported only once: the issuer may have applied a report
+    // whose response was lost, and counting it twice would free tokens that are
+    // still outstanding.
     demand.m_spent = row.m_unreported;
     if (surplus > 0) {
       demand.m_returned = ReclaimTokens(row, std::floor(surplus));
--- a/src/traffic/token_budget.h
+++ b/src/traffic/token_budget.h
@@ -11,49 +11,49 @@
 
 namespace foxtail {
 
-/// What one entry knows of one workspace's demand and tokens.
+/// Demand and tokens of one workspace at one traffic thread.
 struct TokenBudgetRow {
   std::string m_workspace;
 
-  /// Tokens in hand, and until when they may be used.
+  /// Tokens that were granted together and that expire at `m_until`.
   struct TokenBatch {
     double m_tokens = 0;
     TimePoint m_until;
 
-    /// The holder counts them as used already.
+    /// The issuer already counts these tokens as used.
     bool m_counted_as_spent = false;
   };
   std::vector<TokenBatch> m_batches;
 
-  /// Tokens used and not yet reported. A report that gets no answer is not
-  /// repeated: those tokens run out at the holder instead.
+  /// Tokens used and not yet reported. A report without a response is not
+  /// repeated: its tokens expire at the issuer instead.
   double m_unreported = 0;
 
-  /// Tokens asked for in the request on its way, and when the last request was
-  /// sent that the holder answered with fewer than asked for.
+  /// Tokens requested by the latest request, and the time at which the last
+  /// request was sent for which the issuer granted fewer than requested.
   double m_requested = 0;
   TimePoint m_denied_at;
 
   /// Requests that wait for a token.
   size_t m_waiting = 0;
 
-  /// Requests since the last measurement, and their smoothed rate a second.
+  /// Client requests since `m_measured_at`, and their smoothed rate per second.
   double m_arrivals = 0;
   double m_demand_rate = 0;
   TimePoint m_measured_at;
   TimePoint m_last_arrival_at;
 };
 
-/// How many tokens an entry asks for.
+/// Determines how many tokens a traffic thread keeps in stock.
 class ShareStrategy {
  public:
   virtual ~ShareStrategy() = default;
 
-  /// Returns the stock the entry wants to have for a workspace.
+  /// Returns the target stock of a workspace, in tokens.
   virtual double Target(const TokenBudgetRow& row) const = 0;
 };
 
-/// The same stock whatever the demand; the baseline.
+/// The same stock regardless of demand; the baseline strategy.
 class FixedShare : public ShareStrategy {
  public:
   explicit FixedShare(double tokens) : m_tokens(tokens) {}
@@ -63,8 +63,8 @@
   double m_tokens;
 };
 
-/// A stock for the demand of the next `horizon`, and one for each request that
-/// waits.
+/// A stock for the demand of the next `horizon` plus one token per waiting
+/// request.
 class DemandShare : public ShareStrategy {
  public:
   explicit DemandShare(Duration horizon) : m_horizon(horizon) {}
@@ -74,9 +74,9 @@
   Duration m_horizon;
 };
 
-/// As `DemandShare`, but in whole tokens: where less than one is needed, none
-/// is kept. Load pattern: many hosts, of which each sees a small part of a
-/// small rate, so that one token each would use up the burst.
+/// Like `DemandShare`, but rounds down: a demand of less than one token keeps
+/// no stock. Suited to many hosts that each receive a small part of a small
+/// rate, where one token per host would use up the burst.
 class WholeDemandShare : public ShareStrategy {
  public:
   explicit WholeDemandShare(Duration horizon) : m_horizon(horizon) {}
@@ -86,35 +86,38 @@
   Duration m_horizon;
 };
 
-/// Tokens of all workspaces at one traffic thread.
+/// The rate limit tokens of all workspaces at one traffic thread.
 class TokenBudget {
  public:
   explicit TokenBudget(std::unique_ptr<ShareStrategy> strategy);
 
-  /// Notes the arrival of a request of a workspace.
+  /// Records the arrival of a request of a workspace.
   void OnArrival(const std::string& workspace, TimePoint now);
 
-  /// Uses one token if there is one.
+  /// Uses one token if one is available. Returns whether it was.
   bool TryAcquire(const std::string& workspace, TimePoint now);
 
-  /// Gives back the token of a request that did not run; usable until `until`.
+  /// Returns the token of a request that was not executed to the stock, where
+  /// it can be used until `until`.
   void ReturnToken(const std::string& workspace, TimePoint until);
 
-  /// Notes that a request begins or ceases to wait for a token.
+  /// Records that a request begins or ends waiting for a token.
   void AddWaiting(const std::string& workspace);
   void RemoveWaiting(const std::string& workspace);
 
-  /// Returns whether a request to the holder is worth sending now.
+  /// Returns whether a request to the issuer should be sent now.
   bool NeedsTokens(TimePoint now);
 
-  /// Builds the demands to send. What is given back can no longer be used.
+  /// Builds the demands to send, and removes the surplus tokens that they
+  /// return from the stock.
   std::vector<TokenDemand> BuildDemands(TimePoint now);
 
-  /// Takes in an answer to demands that were sent at `sent_at`.
+  /// Adds the tokens granted in response to demands that were sent at
+  /// `sent_at`.
   void OnGrants(const TokenResponse& response, TimePoint sent_at);
 
-  /// Returns whether the holder gave the workspace fewer tokens than asked for
-  /// in answer to a request sent after `since`.
+  /// Returns whether the issuer granted the workspace fewer tokens than
+  /// requested by a request that was sent after `since`.
   bool WasDenied(const std::string& workspace, TimePoint since);
 
  private:
--- a/src/traffic/token_issuer.cc
+++ b/src/traffic/token_issuer.cc
@@ -6,13 +6,14 @@
 namespace foxtail {
 namespace {
 
-// Part of the burst that may be out at once. A holder that takes over may then
-// start at once with the rest as its limit, and nothing in stock.
+// Fraction of the burst that may be outstanding at once. A successor can
+// therefore grant tokens immediately, with an empty stock and the rest of the
+// burst as its limit.
 constexpr double kMaxOutstandingFraction = 0.5;
 constexpr double kRoundingError = 1e-9;  // tokens
 
-// Tokens that are out: those of this holder, and all with what an earlier
-// holder may have handed out.
+// Outstanding tokens: those of this issuer alone, and those that include what a
+// previous issuer may have granted.
 struct OutstandingSum {
   double m_own = 0;
   double m_all = 0;
@@ -29,12 +30,13 @@
   return sum;
 }
 
-// A burst under two tokens leaves no part to split: then one may be out.
+// A burst below two tokens cannot be split; one token may then be outstanding.
 double OutstandingLimit(const TokenLimit& limit) {
   return std::max(1.0, limit.m_burst * kMaxOutstandingFraction);
 }
 
-// Adds what accrued. Stock and tokens that are out never exceed the burst.
+// Adds the accrued tokens. The stock and the outstanding tokens together never
+// exceed the burst.
 void Refill(IssuedTokensRow& row,
             const TokenLimit& limit,
             double outstanding,
@@ -45,7 +47,8 @@
   row.m_refilled_at = now;
 }
 
-// Takes tokens of a dispatcher off what is out; returns how many there were.
+// Removes up to `tokens` outstanding tokens of a dispatcher; returns the number
+// removed.
 double RemoveOutstanding(IssuedTokensRow& row,
                          const DispatcherName& dispatcher,
                          double tokens) {
@@ -67,10 +70,10 @@
   m_rows.clear();
 }
 
-// A new holder does not know what its predecessor handed out, so it starts with
-// nothing in stock and the largest possible amount out. Tokens of a holder
-// still earlier have run out: a takeover needs longer than their life, and a
-// planned stop holds the lease at least that long.
+// A new issuer does not know what its predecessor granted, so it starts with an
+// empty stock and assumes the maximum amount to be outstanding. Tokens of the
+// issuer before its predecessor have expired: a takeover takes longer than the
+// token TTL, and a graceful shutdown keeps the lease at least that long.
 IssuedTokensRow& TokenIssuer::FindOrAddRow(const TokenLimit& limit,
                                            TimePoint now) {
   const auto [row, added] = m_rows.try_emplace(limit.m_workspace);
@@ -96,7 +99,8 @@
   Refill(row, limit, outstanding.m_all, now);
   row.m_stock = std::min(row.m_stock + returned,
                          std::max(0.0, limit.m_burst - outstanding.m_all));
-  // Whole tokens only: a part of one admits nothing and would lie idle.
+  // Only whole tokens are granted: a fraction admits no request and would stay
+  // unused.
   const double for_waiting =
       std::floor(std::min(demand.m_waiting, row.m_stock) + kRoundingError);
   row.m_stock -= for_waiting;
--- a/src/traffic/token_issuer.h
+++ b/src/traffic/token_issuer.h
@@ -13,17 +13,18 @@
 struct TokenLimit {
   std::string m_workspace;
 
-  /// Tokens a second, and most tokens in stock and out together.
+  /// Tokens per second, and maximum tokens in stock and outstanding together.
   double m_rate = 0;
   double m_burst = 0;
 };
 
-/// Tokens of a workspace at their one holder.
+/// Stock and outstanding tokens of a workspace at the issuer.
 struct IssuedTokensRow {
   double m_stock = 0;
   TimePoint m_refilled_at;
 
-  /// Tokens handed out that may still be used, until when each.
+  /// Tokens granted to a dispatcher that may be used before `m_until`. The
+  /// dispatcher is empty for tokens of a previous issuer.
   struct Outstanding {
     DispatcherName m_dispatcher;
     double m_tokens = 0;
@@ -32,17 +33,20 @@
   std::vector<Outstanding> m_outstanding;
 };
 
-/// Hands out the tokens of all workspaces. There is one holder at a time; stock
-/// and tokens that are out never exceed a workspace's burst.
+/// Grants the rate limit tokens of all workspaces. There is one issuer at a
+/// time; the stock and the outstanding tokens of a workspace together never
+/// exceed its burst.
 class TokenIssuer {
  public:
-  /// `token_ttl` is how long a token counts as out, clock drift included.
+  /// `token_ttl` is how long a token counts as outstanding, including a margin
+  /// for clock drift.
   explicit TokenIssuer(Duration token_ttl) : m_token_ttl(token_ttl) {}
 
-  /// Begins as a new holder, which does not know what was handed out before.
+  /// Starts as a new issuer, which does not know the tokens that its
+  /// predecessor granted.
   void Begin(TimePoint now);
 
-  /// Answers a dispatcher's demand.
+  /// Applies a dispatcher's demand and returns the tokens granted.
   TokenGrant Serve(const TokenLimit& limit,
                    const DispatcherName& dispatcher,
                    const TokenDemand& demand,
--- a/tests/routing/route_index_test.cc
+++ b/tests/routing/route_index_test.cc
@@ -37,7 +37,7 @@
   return ErrorCode::kInternal;
 }
 
-TEST(RouteIndexTest, LongestPrefixOfTheHostWins) {
+TEST(RouteIndexTest, MatchesLongestPrefixOfTheHost) {
   const RouteIndex index(MakeConfig());
   EXPECT_EQ(index.Match("a.example", "/orders/urgent/1").m_name, "urgent");
   EXPECT_EQ(index.Match("a.example:80", "/orders/urgent").m_name, "orders");
@@ -48,7 +48,7 @@
             ErrorCode::kRouteUnknown);
 }
 
-TEST(RouteIndexTest, KeysAreFoundByTheirDigest) {
+TEST(RouteIndexTest, AuthenticatesKeysByTheirDigest) {
   const RouteIndex index(MakeConfig());
   EXPECT_EQ(index.Authenticate("key-1").m_name, "club-1");
   EXPECT_EQ(CodeOf([&] { index.Authenticate("key-2"); }),
--- a/tests/traffic/dispatch_system_test.cc
+++ b/tests/traffic/dispatch_system_test.cc
@@ -9,7 +9,8 @@
 
 using std::chrono::milliseconds;
 
-// A dispatch system on a hand-written clock, with one server "s" of one slot.
+// A dispatch system with a manual clock and one server "s" that has one slot
+// and a queue of two.
 class DispatchSystemTest : public testing::Test {
  protected:
   DispatchSystemTest()
@@ -24,7 +25,8 @@
     m_routes.m_partitions = {{0, 0, 1, false}, {1, 0, 1, false}};
   }
 
-  // An answer of the controller; with memories of partitions never owned.
+  // Applies a controller's response that hands over empty deduplication states,
+  // as for partitions that no dispatcher owned before.
   bool Apply(bool leased = true, uint64_t number = 0) {
     SyncResponse response;
     response.m_control_epoch = 1;
@@ -72,7 +74,7 @@
   TicketNumber m_ticket = 0;
 };
 
-TEST_F(DispatchSystemTest, NothingIsAdmittedWithoutALease) {
+TEST_F(DispatchSystemTest, RejectsRequestsWithoutALease) {
   EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kNotDispatcher);
   ASSERT_TRUE(Apply());
   m_system.Admit(Query("a"), ++m_ticket, m_now);
@@ -80,7 +82,7 @@
   EXPECT_EQ(AdmitFails(Query("b")), ErrorCode::kNotDispatcher);
 }
 
-TEST_F(DispatchSystemTest, OvertakenAndLateAnswersAreIgnored) {
+TEST_F(DispatchSystemTest, IgnoresStaleAndLateResponses) {
   ASSERT_TRUE(Apply(true, 5));
   ASSERT_TRUE(Apply(false, 7));
   EXPECT_FALSE(Apply(true, 6));
@@ -94,7 +96,7 @@
       m_system.Apply("cell", late, m_now.m_steady - milliseconds(100), m_now));
 }
 
-TEST_F(DispatchSystemTest, SlotsAndQueueAreBounds) {
+TEST_F(DispatchSystemTest, LimitsRunningAndQueuedRequests) {
   ASSERT_TRUE(Apply());
   const DispatchServerId server = m_system.Admit(Query("a"), 1, m_now);
   EXPECT_EQ(m_system.AcquireSlot(server)->m_ticket, 1U);
@@ -104,7 +106,7 @@
   EXPECT_EQ(AdmitFails(Query("d")), ErrorCode::kServerQueueFull);
 }
 
-TEST_F(DispatchSystemTest, SuspectRunsAloneAndIsClearedByAnAnswer) {
+TEST_F(DispatchSystemTest, SuspectRunsAloneAndIsClearedByAResponse) {
   ASSERT_TRUE(Apply());
   const DispatchQuery query = Query("a", true);
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
@@ -141,9 +143,10 @@
   EXPECT_TRUE(Report().m_draining.empty());
 }
 
-// A request that waited when its partition was let go did not run, so its id
-// must not travel to the next dispatcher.
-TEST_F(DispatchSystemTest, MemoryHoldsOnlyRequestsThatMayHaveRun) {
+// Guards against handing over the id of a request that was still waiting when
+// its partition was released: the request was not executed, so the next
+// dispatcher must not reject its retry as a duplicate.
+TEST_F(DispatchSystemTest, DedupStateContainsOnlyRequestsThatMayHaveRun) {
   ASSERT_TRUE(Apply());
   const DispatchQuery ran = Query("ran");
   const DispatchQuery waits = Query("waits");
@@ -153,7 +156,7 @@
   m_system.Admit(waits, 2, m_now);
   m_routes.m_partitions[0].m_held = true;
   ASSERT_TRUE(Apply());
-  // Not complete while the other one is in flight.
+  // The state is incomplete while the other request is in flight.
   EXPECT_TRUE(Report().m_memories.empty());
   m_system.Abandon(waits, server, 2);
   EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kResponded, "",
@@ -167,7 +170,7 @@
   EXPECT_TRUE(Report().m_memories.empty());
 }
 
-TEST_F(DispatchSystemTest, IdsAreDoubtedAfterALapse) {
+TEST_F(DispatchSystemTest, IdsAreUnverifiableAfterALeaseLapse) {
   ASSERT_TRUE(Apply());
   m_system.Admit(Query("a"), ++m_ticket, m_now);
   m_now.m_steady += milliseconds(1500);
--- a/tests/traffic/traffic_test.cc
+++ b/tests/traffic/traffic_test.cc
@@ -25,13 +25,14 @@
   return ErrorCode::kInternal;
 }
 
-TEST(RequestIdTest, MadeIdsCanBeRead) {
-  const RequestId made = MakeRequestId(kNow);
-  const RequestId read = ParseRequestId(made.m_text, kNow, milliseconds(0));
-  EXPECT_EQ(read.m_issued, kNow);
+TEST(RequestIdTest, ParsesCreatedIds) {
+  const RequestId created = MakeRequestId(kNow);
+  const RequestId parsed =
+      ParseRequestId(created.m_text, kNow, milliseconds(0));
+  EXPECT_EQ(parsed.m_issued, kNow);
 }
 
-TEST(RequestIdTest, OtherFormsAreRefused) {
+TEST(RequestIdTest, RejectsMalformedIds) {
   for (const char* text :
        {"", "-", "1700000000000", "1700000000000-", "170000000000-a",
         "1700000000000_a", "1700000000000-a\n", "170000000000x-a",
@@ -42,7 +43,7 @@
   }
 }
 
-TEST(DedupRegistryTest, RepeatsAreKnownAndOldIdsDoubted) {
+TEST(DedupRegistryTest, DetectsDuplicatesAndUnverifiableIds) {
   DedupRegistry registry(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   registry.Accept(id, false, kNow);
@@ -58,7 +59,7 @@
   registry.Accept(id, false, kNow);
 }
 
-TEST(DedupRegistryTest, ExpiredIdIsDoubtedNotAccepted) {
+TEST(DedupRegistryTest, ExpiredIdIsUnverifiable) {
   DedupRegistry registry(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   registry.Accept(id, false, kNow);
@@ -69,7 +70,7 @@
             ErrorCode::kRequestUnverifiable);
 }
 
-TEST(DedupRegistryTest, MemoryMovesToTheNextDispatcher) {
+TEST(DedupRegistryTest, ImportedStateDetectsDuplicates) {
   DedupRegistry first(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   first.Accept(id, false, kNow);
@@ -80,24 +81,24 @@
   second.Accept({"1700000000001-b", kNow + milliseconds(1)}, false, kNow);
 }
 
-TEST(FairQueueTest, WorkspacesShareByWeightWhateverTheyQueue) {
+TEST(FairQueueTest, SharesSlotsByWeightNotByQueueLength) {
   FairQueue queue;
   TicketNumber ticket = 0;
   for (int i = 0; i < 300; ++i) {
-    queue.Push(++ticket, "greedy", 1);
+    queue.Push(++ticket, "heavy", 1);
   }
-  const TicketNumber first_calm = ticket + 1;
+  const TicketNumber first_light = ticket + 1;
   for (int i = 0; i < 100; ++i) {
-    queue.Push(++ticket, "calm", 3);
+    queue.Push(++ticket, "light", 3);
   }
-  int calm = 0;
+  int light = 0;
   for (int i = 0; i < 80; ++i) {
-    calm += *queue.Pop() >= first_calm;
+    light += *queue.Pop() >= first_light;
   }
-  EXPECT_NEAR(calm, 60, 2);
+  EXPECT_NEAR(light, 60, 2);
 }
 
-TEST(FairQueueTest, RemovedTicketsDoNotComeBack) {
+TEST(FairQueueTest, DoesNotReturnRemovedTickets) {
   FairQueue queue;
   queue.Push(1, "a", 1);
   queue.Push(2, "a", 1);
@@ -106,7 +107,7 @@
   EXPECT_EQ(queue.Pop(), std::nullopt);
 }
 
-TEST(RampLimitTest, ColdServerGetsOneAtATimeUntilItIsWarm) {
+TEST(RampLimitTest, ColdServerIsLimitedToOneRequestUntilWarm) {
   RampLimit limit{RampSettings()};
   EXPECT_EQ(limit.Limit(6), 1U);
   for (int i = 0; i < 60; ++i) {
@@ -121,7 +122,7 @@
   EXPECT_EQ(limit.Limit(6), 1U);
 }
 
-TEST(RampLimitTest, SlownessWithoutNoticeMakesAServerCold) {
+TEST(RampLimitTest, SlowResponsesMakeAServerCold) {
   RampLimit limit{RampSettings()};
   for (int i = 0; i < 400; ++i) {
     limit.OnResponse("run-1", milliseconds(10));
@@ -133,7 +134,7 @@
   EXPECT_TRUE(limit.IsCold());
 }
 
-TEST(RampLimitTest, ServerThatStaysSlowIsAcceptedInTheEnd) {
+TEST(RampLimitTest, ServerThatStaysSlowBecomesWarm) {
   RampLimit limit{RampSettings()};
   for (int i = 0; i < 400; ++i) {
     limit.OnResponse("run-1", milliseconds(10));
@@ -158,7 +159,7 @@
   EXPECT_NEAR(retries, 15, 1);
 }
 
-TEST(TokenBudgetTest, TokensAreUsedOnceAndRunOut) {
+TEST(TokenBudgetTest, TokensAreUsedOnceAndExpire) {
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
   EXPECT_FALSE(budget.TryAcquire("club", start));
@@ -170,7 +171,7 @@
   EXPECT_FALSE(budget.TryAcquire("club", start + milliseconds(1000)));
 }
 
-TEST(TokenBudgetTest, SpentTokensAreReportedOnceAndSurplusGivenBack) {
+TEST(TokenBudgetTest, ReportsSpentTokensOnceAndReturnsSurplus) {
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
   TokenResponse response;
