--- a/src/entry/client_handler.cc
+++ b/src/entry/client_handler.cc
@@ -74,9 +74,9 @@
   /// Returns the error for the client. "Not run" becomes "unknown" if an
   /// earlier attempt may have been executed.
   Error ToClientError(const Error& error) const {
-    const bool hidden =
+    const bool execution_unknown =
         m_may_have_run && error.GetExecution() == Execution::kNotRun;
-    return hidden
+    return execution_unknown
                ? Error(error.GetCode(), Execution::kUnknown, error.GetDetail())
                : error;
   }
@@ -227,11 +227,11 @@
 
 HttpResponse ClientHandler::Forward(const HttpRequest& request,
                                     RequestContext& context) {
-  ErrorCode last = ErrorCode::kPartitionNotServed;
+  ErrorCode last_error = ErrorCode::kPartitionNotServed;
   while (true) {
     if (Clock::now() >= context.m_query.m_deadline) {
       throw context.ToClientError(
-          Error(last, Execution::kNotRun, context.m_service));
+          Error(last_error, Execution::kNotRun, context.m_service));
     }
     if (!ChooseDispatcher(context)) {
       m_state_changed.WaitUntil(context.m_query.m_deadline);
@@ -247,7 +247,7 @@
           context.m_may_have_run || error.GetExecution() != Execution::kNotRun;
       context.m_query.m_fresh =
           context.m_query.m_fresh && !context.m_may_have_run;
-      last = error.GetCode();
+      last_error = error.GetCode();
     }
     BackOff(context);
   }
--- a/src/routing/route_index.cc
+++ b/src/routing/route_index.cc
@@ -19,7 +19,7 @@
   for (const RoutedWorkspace& workspace : m_config.m_workspaces) {
     m_workspaces[workspace.m_name] = &workspace;
     for (const std::string& digest : workspace.m_key_digests) {
-      m_keys[digest] = &workspace;
+      m_workspaces_by_key[digest] = &workspace;
     }
   }
   for (const RoutedService& service : m_config.m_services) {
@@ -51,8 +51,8 @@
   if (api_key.empty()) {
     throw Error(ErrorCode::kApiKeyMissing);
   }
-  const auto found = m_keys.find(SecretDigest(api_key));
-  if (found == m_keys.end()) {
+  const auto found = m_workspaces_by_key.find(SecretDigest(api_key));
+  if (found == m_workspaces_by_key.end()) {
     throw Error(ErrorCode::kApiKeyUnknown);
   }
   return *found->second;
--- a/src/routing/route_index.h
+++ b/src/routing/route_index.h
@@ -40,7 +40,9 @@
   /// Routes by host name, then by prefix.
   std::unordered_map<std::string, std::map<std::string, const RouteRow*>>
       m_routes;
-  std::unordered_map<std::string, const RoutedWorkspace*> m_keys;
+
+  /// Workspaces by the digest of an API key.
+  std::unordered_map<std::string, const RoutedWorkspace*> m_workspaces_by_key;
   std::unordered_map<std::string, const RoutedWorkspace*> m_workspaces;
   std::unordered_map<std::string, const RoutedService*> m_services;
 };
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -207,10 +207,10 @@
     }
     request.m_observations.push_back(
         {server_name, server.m_running,
-         static_cast<uint32_t>(server.m_queue->size()), server.m_answered,
-         server.m_lost});
-    server.m_answered = 0;
-    server.m_lost = 0;
+         static_cast<uint32_t>(server.m_queue->size()), server.m_responses,
+         server.m_lost_connections});
+    server.m_responses = 0;
+    server.m_lost_connections = 0;
   }
   std::set<std::string> draining_servers;
   std::set<PartitionNumber> draining;
@@ -412,7 +412,7 @@
   ReleaseSlot(server_id);
   switch (outcome) {
     case SendOutcome::kResponded:
-      ++server.m_answered;
+      ++server.m_responses;
       server.m_limit->OnResponse(server_instance, latency);
       if (solo) {
         RecordCleared(row);
@@ -424,12 +424,12 @@
       break;
     case SendOutcome::kNotSent:
       server.m_limit->OnConnectionLost();
-      ++server.m_lost;
+      ++server.m_lost_connections;
       Abandon(query, server_id, 0);
       break;
     case SendOutcome::kConnectionLost:
       server.m_limit->OnConnectionLost();
-      ++server.m_lost;
+      ++server.m_lost_connections;
       RecordCrash(row, solo);
       break;
     case SendOutcome::kTimedOut:
@@ -448,27 +448,27 @@
 
 // The other requests in flight at the same server are suspects too. Each is
 // recorded when its own connection breaks.
-void DispatchSystem::RecordCrash(const InFlightRow& crashed, bool solo) {
-  const DispatchServerRow& server = m_tables.m_servers.Get(crashed.m_server);
+void DispatchSystem::RecordCrash(const InFlightRow& row, bool solo) {
+  const DispatchServerRow& server = m_tables.m_servers.Get(row.m_server);
   TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
   CrashSuspect report;
-  report.m_fingerprint = crashed.m_fingerprint;
+  report.m_fingerprint = row.m_fingerprint;
   report.m_solo_crashes = solo ? 1 : 0;
   report.m_shared_crashes = solo ? 0 : 1;
   cell.m_new_suspects.push_back(report);
   // This thread isolates the suspect immediately, before the controller's
   // suspects arrive with the next routes.
-  cell.m_suspects.emplace(crashed.m_fingerprint, report);
+  cell.m_suspects.emplace(row.m_fingerprint, report);
 }
 
-void DispatchSystem::RecordCleared(const InFlightRow& answered) {
-  const DispatchServerRow& server = m_tables.m_servers.Get(answered.m_server);
+void DispatchSystem::RecordCleared(const InFlightRow& row) {
+  const DispatchServerRow& server = m_tables.m_servers.Get(row.m_server);
   TrafficCellRow& cell = m_tables.m_cells.Get(server.m_cell);
   CrashSuspect report;
-  report.m_fingerprint = answered.m_fingerprint;
+  report.m_fingerprint = row.m_fingerprint;
   report.m_cleared = true;
   cell.m_new_suspects.push_back(report);
-  cell.m_suspects.erase(answered.m_fingerprint);
+  cell.m_suspects.erase(row.m_fingerprint);
 }
 
 std::optional<DispatchSystem::Target> DispatchSystem::TargetOf(
--- a/src/traffic/dispatch_system.h
+++ b/src/traffic/dispatch_system.h
@@ -168,8 +168,8 @@
                              const Now& now);
   uint32_t SlotsOf(const DispatchServerRow& server) const;
   void DropLapsedRegistries(TrafficCellRow& cell, TimePoint now);
-  void RecordCrash(const InFlightRow& crashed, bool solo);
-  void RecordCleared(const InFlightRow& answered);
+  void RecordCrash(const InFlightRow& row, bool solo);
+  void RecordCleared(const InFlightRow& row);
   bool IsDraining(const InFlightRow& row) const;
 
   DispatchSettings m_settings;
--- a/src/traffic/traffic_tables.h
+++ b/src/traffic/traffic_tables.h
@@ -61,8 +61,8 @@
   bool m_exclusive = false;
 
   /// Responses and lost connections since the last report to the controller.
-  uint64_t m_answered = 0;
-  uint32_t m_lost = 0;
+  uint64_t m_responses = 0;
+  uint32_t m_lost_connections = 0;
 };
 
 /// Deduplication of one owned partition, and the server that owns it.
--- a/tests/traffic/dispatch_system_test.cc
+++ b/tests/traffic/dispatch_system_test.cc
@@ -42,7 +42,7 @@
     return m_system.Apply("cell", response, m_now.m_steady, m_now);
   }
 
-  DispatchQuery Query(const std::string& name, bool idempotent = false) {
+  DispatchQuery MakeQuery(const std::string& name, bool idempotent = false) {
     DispatchQuery query;
     query.m_cell = "cell";
     query.m_id = {"1700000000000-" + name, m_now.m_wall};
@@ -52,7 +52,7 @@
     return query;
   }
 
-  ErrorCode AdmitFails(const DispatchQuery& query) {
+  ErrorCode AdmitError(const DispatchQuery& query) {
     try {
       m_system.Admit(query, ++m_ticket, m_now);
     } catch (const Error& error) {
@@ -61,7 +61,7 @@
     return ErrorCode::kInternal;
   }
 
-  SyncRequest Report() {
+  SyncRequest BuildReport() {
     SyncRequest report;
     m_system.FillReport("cell", report, m_now);
     return report;
@@ -75,18 +75,18 @@
 };
 
 TEST_F(DispatchSystemTest, RejectsRequestsWithoutALease) {
-  EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kNotDispatcher);
+  EXPECT_EQ(AdmitError(MakeQuery("a")), ErrorCode::kNotDispatcher);
   ASSERT_TRUE(Apply());
-  m_system.Admit(Query("a"), ++m_ticket, m_now);
+  m_system.Admit(MakeQuery("a"), ++m_ticket, m_now);
   m_now.m_steady += milliseconds(1000);
-  EXPECT_EQ(AdmitFails(Query("b")), ErrorCode::kNotDispatcher);
+  EXPECT_EQ(AdmitError(MakeQuery("b")), ErrorCode::kNotDispatcher);
 }
 
 TEST_F(DispatchSystemTest, IgnoresStaleAndLateResponses) {
   ASSERT_TRUE(Apply(true, 5));
   ASSERT_TRUE(Apply(false, 7));
   EXPECT_FALSE(Apply(true, 6));
-  EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kNotDispatcher);
+  EXPECT_EQ(AdmitError(MakeQuery("a")), ErrorCode::kNotDispatcher);
   SyncResponse late;
   late.m_control_epoch = 1;
   late.m_number = 9;
@@ -98,36 +98,36 @@
 
 TEST_F(DispatchSystemTest, LimitsRunningAndQueuedRequests) {
   ASSERT_TRUE(Apply());
-  const DispatchServerId server = m_system.Admit(Query("a"), 1, m_now);
+  const DispatchServerId server = m_system.Admit(MakeQuery("a"), 1, m_now);
   EXPECT_EQ(m_system.AcquireSlot(server)->m_ticket, 1U);
-  m_system.Admit(Query("b"), 2, m_now);
-  m_system.Admit(Query("c"), 3, m_now);
+  m_system.Admit(MakeQuery("b"), 2, m_now);
+  m_system.Admit(MakeQuery("c"), 3, m_now);
   EXPECT_FALSE(m_system.AcquireSlot(server));
-  EXPECT_EQ(AdmitFails(Query("d")), ErrorCode::kServerQueueFull);
+  EXPECT_EQ(AdmitError(MakeQuery("d")), ErrorCode::kServerQueueFull);
 }
 
 TEST_F(DispatchSystemTest, SuspectRunsAloneAndIsClearedByAResponse) {
   ASSERT_TRUE(Apply());
-  const DispatchQuery query = Query("a", true);
+  const DispatchQuery query = MakeQuery("a", true);
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
   m_system.AcquireSlot(server);
   m_system.End(query, m_system.Begin(query, server),
                SendOutcome::kConnectionLost, "", milliseconds(1),
                m_now.m_steady);
-  ASSERT_EQ(Report().m_suspects.size(), 1U);
+  ASSERT_EQ(BuildReport().m_suspects.size(), 1U);
   m_system.Admit(query, 2, m_now);
   const auto slot = m_system.AcquireSlot(server);
   ASSERT_TRUE(slot && slot->m_solo);
   m_system.End(query, m_system.Begin(query, server), SendOutcome::kResponded,
                "", milliseconds(1), m_now.m_steady);
-  const SyncRequest report = Report();
+  const SyncRequest report = BuildReport();
   ASSERT_EQ(report.m_suspects.size(), 1U);
   EXPECT_TRUE(report.m_suspects[0].m_cleared);
 }
 
 TEST_F(DispatchSystemTest, LostRequestDrainsUntilItsDeadline) {
   ASSERT_TRUE(Apply());
-  const DispatchQuery query = Query("a");
+  const DispatchQuery query = MakeQuery("a");
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
   m_system.AcquireSlot(server);
   m_system.End(query, m_system.Begin(query, server),
@@ -135,12 +135,12 @@
                m_now.m_steady);
   m_routes.m_partitions[0].m_held = true;
   ASSERT_TRUE(Apply());
-  EXPECT_EQ(Report().m_draining.size(), 1U);
+  EXPECT_EQ(BuildReport().m_draining.size(), 1U);
   m_now.m_steady += milliseconds(500);
   EXPECT_FALSE(m_system.Expire(m_now));
   m_now.m_steady += DispatchSettings().m_max_wall_skew;
   EXPECT_TRUE(m_system.Expire(m_now));
-  EXPECT_TRUE(Report().m_draining.empty());
+  EXPECT_TRUE(BuildReport().m_draining.empty());
 }
 
 // Guards against handing over the id of a request that was still waiting when
@@ -148,8 +148,8 @@
 // dispatcher must not reject its retry as a duplicate.
 TEST_F(DispatchSystemTest, DedupStateContainsOnlyRequestsThatMayHaveRun) {
   ASSERT_TRUE(Apply());
-  const DispatchQuery ran = Query("ran");
-  const DispatchQuery waits = Query("waits");
+  const DispatchQuery ran = MakeQuery("ran");
+  const DispatchQuery waits = MakeQuery("waits");
   const DispatchServerId server = m_system.Admit(ran, 1, m_now);
   m_system.AcquireSlot(server);
   const InFlightId in_flight = m_system.Begin(ran, server);
@@ -157,22 +157,22 @@
   m_routes.m_partitions[0].m_held = true;
   ASSERT_TRUE(Apply());
   // The state is incomplete while the other request is in flight.
-  EXPECT_TRUE(Report().m_memories.empty());
+  EXPECT_TRUE(BuildReport().m_memories.empty());
   m_system.Abandon(waits, server, 2);
   EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kResponded, "",
                            milliseconds(1), m_now.m_steady));
-  const SyncRequest report = Report();
+  const SyncRequest report = BuildReport();
   ASSERT_EQ(report.m_memories.size(), 1U);
   ASSERT_EQ(report.m_memories[0].m_seen.size(), 1U);
   EXPECT_EQ(report.m_memories[0].m_seen[0].m_hash,
             DedupRegistry::HashOf(ran.m_id));
   m_system.OnReportAcknowledged(report);
-  EXPECT_TRUE(Report().m_memories.empty());
+  EXPECT_TRUE(BuildReport().m_memories.empty());
 }
 
 TEST_F(DispatchSystemTest, IdsAreUnverifiableAfterALeaseLapse) {
   ASSERT_TRUE(Apply());
-  m_system.Admit(Query("a"), ++m_ticket, m_now);
+  m_system.Admit(MakeQuery("a"), ++m_ticket, m_now);
   m_now.m_steady += milliseconds(1500);
   m_routes.m_partitions.pop_back();
   SyncResponse response;
@@ -182,7 +182,7 @@
   response.m_lease = milliseconds(1000);
   response.m_leased_servers = {"s"};
   ASSERT_TRUE(m_system.Apply("cell", response, m_now.m_steady, m_now));
-  EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kRequestUnverifiable);
+  EXPECT_EQ(AdmitError(MakeQuery("a")), ErrorCode::kRequestUnverifiable);
 }
 
 }  // namespace
