--- a/src/entry/token_client.h
+++ b/src/entry/token_client.h
@@ -11,39 +11,41 @@
 
 namespace foxtail {
 
-/// Keeps the tokens of one traffic thread supplied by their holder.
+/// Requests rate limit tokens for one traffic thread from their issuer.
 class TokenClient {
  public:
-  /// `controls` are all control processes; any of them may be the holder.
+  /// `control_processes`: addresses of all control processes; any of them may
+  /// be the issuer. `token_wait`: how long a request waits for a token that the
+  /// issuer denied.
   TokenClient(TokenBudget& budget,
-              DispatcherName self,
-              std::vector<std::string> controls,
+              DispatcherName identity,
+              std::vector<std::string> control_processes,
               std::string cluster_secret,
-              Duration wait);
+              Duration token_wait);
 
-  /// Takes one token, waiting for the holder if there is none. Throws
-  /// `Error(kRateExceeded)` when the holder gives none in time, or
-  /// `Error(kAccessStale)` when no holder answers.
+  /// Acquires one token and waits for the issuer if none is in stock. Throws
+  /// `Error(kRateExceeded)` if the issuer grants none in time, or
+  /// `Error(kAccessStale)` if no issuer responds.
   void Acquire(const std::string& workspace, TimePoint deadline);
 
-  /// Supplies tokens until `Stop`; runs in a fiber of its own.
+  /// Requests tokens as needed until `Stop`; runs in its own fiber.
   void Loop();
 
   void Stop();
 
  private:
-  void Fetch();
-  void PauseIfAllAsked();
+  void RequestTokens();
+  void BackOffIfAllTried();
 
   TokenBudget& m_budget;
-  DispatcherName m_self;
+  DispatcherName m_identity;
   std::string m_cluster_secret;
-  Duration m_wait;
+  Duration m_token_wait;
   HttpClient m_client;
   ControllerFinder m_finder;
-  FiberEvent m_wanted;
-  FiberEvent m_granted;
-  TimePoint m_not_before;
+  FiberEvent m_refill_needed;
+  FiberEvent m_tokens_granted;
+  TimePoint m_next_request_at;
   bool m_stopping = false;
 };
 
--- a/src/gateway/gateway_tables.h
+++ b/src/gateway/gateway_tables.h
@@ -20,7 +20,7 @@
 #include "gateway/speed_estimate.h"
 #include "routing/route_index.h"
 #include "store/table_store.h"
-#include "traffic/token_holder.h"
+#include "traffic/token_issuer.h"
 
 namespace foxtail {
 
@@ -294,7 +294,7 @@
   LeaderLeaseState m_leader_lease;
 
   /// Issues the workspaces' rate tokens; used while this process is the leader.
-  std::optional<TokenHolder> m_tokens;
+  std::optional<TokenIssuer> m_tokens;
   std::array<WatchProgress, kWatchedKinds> m_progress;
 
   /// The leader relays row changes; until this time the store need not be
--- a/src/gateway/rate_limiter.cc
+++ b/src/gateway/rate_limiter.cc
@@ -37,7 +37,7 @@
   const TimePoint start = Clock::now();
   const std::string& name = workspace.m_name;
   m_budget.OnArrival(name, start);
-  if (m_budget.TryTake(name, start)) {
+  if (m_budget.TryAcquire(name, start)) {
     return;
   }
   if (m_budget.WasDenied(name, start - kDenialTtl)) {
@@ -52,7 +52,7 @@
          !m_budget.WasDenied(name, start)) {
     m_on_tokens_needed();
     m_tokens_received.WaitUntil(wait_until);
-    acquired = m_budget.TryTake(name, Clock::now());
+    acquired = m_budget.TryAcquire(name, Clock::now());
   }
   m_budget.RemoveWaiting(name);
   if (acquired) {
@@ -65,7 +65,7 @@
 }
 
 void RateLimiter::ReturnToken(const std::string& workspace) {
-  m_budget.GiveBack(workspace, Clock::now() + m_settings.m_token_ttl);
+  m_budget.ReturnToken(workspace, Clock::now() + m_settings.m_token_ttl);
 }
 
 std::vector<TokenDemand> RateLimiter::BuildDemands(TimePoint now) {
--- /dev/null
+++ b/src/traffic/token_issuer.h
@@ -0,0 +1,63 @@
+#pragma once
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "core/time.h"
+#include "messages/sync_messages.h"
+
+namespace foxtail {
+
+/// Rate and burst of a workspace over all hosts together.
+struct TokenLimit {
+  std::string m_workspace;
+
+  /// Tokens per second, and maximum tokens in stock and outstanding together.
+  double m_rate = 0;
+  double m_burst = 0;
+};
+
+/// Stock and outstanding tokens of a workspace at the issuer.
+struct IssuedTokensRow {
+  double m_stock = 0;
+  TimePoint m_refilled_at;
+
+  /// Tokens granted to a dispatcher that may be used before `m_until`. The
+  /// dispatcher is empty for tokens of a previous issuer.
+  struct Outstanding {
+    DispatcherName m_dispatcher;
+    double m_tokens = 0;
+    TimePoint m_until;
+  };
+  std::vector<Outstanding> m_outstanding;
+};
+
+/// Grants the rate limit tokens of all workspaces. There is one issuer at a
+/// time; the stock and the outstanding tokens of a workspace together never
+/// exceed its burst.
+class TokenIssuer {
+ public:
+  /// `token_ttl` is how long a token counts as outstanding, including a margin
+  /// for clock drift.
+  explicit TokenIssuer(Duration token_ttl) : m_token_ttl(token_ttl) {}
+
+  /// Starts as a new issuer, which does not know the tokens that its
+  /// predecessor granted.
+  void Begin(TimePoint now);
+
+  /// Applies a dispatcher's demand and returns the tokens granted.
+  TokenGrant Serve(const TokenLimit& limit,
+                   const DispatcherName& dispatcher,
+                   const TokenDemand& demand,
+                   TimePoint now);
+
+ private:
+  IssuedTokensRow& FindOrAddRow(const TokenLimit& limit, TimePoint now);
+
+  Duration m_token_ttl;
+  TimePoint m_began_at;
+  std::map<std::string, IssuedTokensRow> m_rows;
+};
+
+}  // namespace foxtail
--- a/tests/gateway/send_system_test.cc
+++ b/tests/gateway/send_system_test.cc
@@ -113,7 +113,7 @@
 TEST(TrafficSplitterTest, ProportionsAreExactOverFewRequests) {
   RouteRow route;
   route.m_name = "r";
-  route.m_parts = {{"a", 90}, {"b", 10}};
+  route.m_services = {{"a", 90}, {"b", 10}};
   TrafficSplitter splitter;
   std::map<std::string, int> counts;
   for (int i = 0; i < 20; ++i) {
--- a/tests/traffic/dispatch_system_test.cc
+++ b/tests/traffic/dispatch_system_test.cc
@@ -9,7 +9,8 @@
 
 using std::chrono::milliseconds;
 
-// A dispatch system on a hand-written clock, with one server "s" of one slot.
+// A dispatch system with a manual clock and one server "s" that has one slot
+// and a queue of two.
 class DispatchSystemTest : public testing::Test {
  protected:
   DispatchSystemTest()
@@ -24,7 +25,8 @@
     m_routes.m_partitions = {{0, 0, 1, false}, {1, 0, 1, false}};
   }
 
-  // An answer of the controller; with memories of partitions never owned.
+  // Applies a controller's response that hands over empty deduplication states,
+  // as for partitions that no dispatcher owned before.
   bool Apply(bool leased = true, uint64_t number = 0) {
     SyncResponse response;
     response.m_control_epoch = 1;
@@ -40,17 +42,17 @@
     return m_system.Apply("cell", response, m_now.m_steady, m_now);
   }
 
-  DispatchQuery Query(const std::string& name, bool repeatable = false) {
+  DispatchQuery MakeQuery(const std::string& name, bool idempotent = false) {
     DispatchQuery query;
     query.m_cell = "cell";
     query.m_id = {"1700000000000-" + name, m_now.m_wall};
-    query.m_repeatable = repeatable;
+    query.m_idempotent = idempotent;
     query.m_fingerprint = std::hash<std::string>()(name);
     query.m_deadline = m_now.m_steady + milliseconds(500);
     return query;
   }
 
-  ErrorCode AdmitFails(const DispatchQuery& query) {
+  ErrorCode AdmitError(const DispatchQuery& query) {
     try {
       m_system.Admit(query, ++m_ticket, m_now);
     } catch (const Error& error) {
@@ -59,7 +61,7 @@
     return ErrorCode::kInternal;
   }
 
-  SyncRequest Report() {
+  SyncRequest BuildReport() {
     SyncRequest report;
     m_system.FillReport("cell", report, m_now);
     return report;
@@ -72,19 +74,19 @@
   TicketNumber m_ticket = 0;
 };
 
-TEST_F(DispatchSystemTest, NothingIsAdmittedWithoutALease) {
-  EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kNotDispatcher);
+TEST_F(DispatchSystemTest, RejectsRequestsWithoutALease) {
+  EXPECT_EQ(AdmitError(MakeQuery("a")), ErrorCode::kNotDispatcher);
   ASSERT_TRUE(Apply());
-  m_system.Admit(Query("a"), ++m_ticket, m_now);
+  m_system.Admit(MakeQuery("a"), ++m_ticket, m_now);
   m_now.m_steady += milliseconds(1000);
-  EXPECT_EQ(AdmitFails(Query("b")), ErrorCode::kNotDispatcher);
+  EXPECT_EQ(AdmitError(MakeQuery("b")), ErrorCode::kNotDispatcher);
 }
 
-TEST_F(DispatchSystemTest, OvertakenAndLateAnswersAreIgnored) {
+TEST_F(DispatchSystemTest, IgnoresStaleAndLateResponses) {
   ASSERT_TRUE(Apply(true, 5));
   ASSERT_TRUE(Apply(false, 7));
   EXPECT_FALSE(Apply(true, 6));
-  EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kNotDispatcher);
+  EXPECT_EQ(AdmitError(MakeQuery("a")), ErrorCode::kNotDispatcher);
   SyncResponse late;
   late.m_control_epoch = 1;
   late.m_number = 9;
@@ -94,80 +96,83 @@
       m_system.Apply("cell", late, m_now.m_steady - milliseconds(100), m_now));
 }
 
-TEST_F(DispatchSystemTest, SlotsAndQueueAreBounds) {
+TEST_F(DispatchSystemTest, LimitsRunningAndQueuedRequests) {
   ASSERT_TRUE(Apply());
-  const DispatchServerId server = m_system.Admit(Query("a"), 1, m_now);
-  EXPECT_EQ(m_system.TakeSlot(server)->m_ticket, 1U);
-  m_system.Admit(Query("b"), 2, m_now);
-  m_system.Admit(Query("c"), 3, m_now);
-  EXPECT_FALSE(m_system.TakeSlot(server));
-  EXPECT_EQ(AdmitFails(Query("d")), ErrorCode::kServerQueueFull);
+  const DispatchServerId server = m_system.Admit(MakeQuery("a"), 1, m_now);
+  EXPECT_EQ(m_system.AcquireSlot(server)->m_ticket, 1U);
+  m_system.Admit(MakeQuery("b"), 2, m_now);
+  m_system.Admit(MakeQuery("c"), 3, m_now);
+  EXPECT_FALSE(m_system.AcquireSlot(server));
+  EXPECT_EQ(AdmitError(MakeQuery("d")), ErrorCode::kServerQueueFull);
 }
 
-TEST_F(DispatchSystemTest, SuspectRunsAloneAndIsClearedByAnAnswer) {
+TEST_F(DispatchSystemTest, SuspectRunsAloneAndIsClearedByAResponse) {
   ASSERT_TRUE(Apply());
-  const DispatchQuery query = Query("a", true);
+  const DispatchQuery query = MakeQuery("a", true);
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
-  m_system.TakeSlot(server);
-  m_system.End(query, m_system.Begin(query, server), SendOutcome::kLost, "",
-               milliseconds(1), m_now.m_steady);
-  ASSERT_EQ(Report().m_suspects.size(), 1U);
+  m_system.AcquireSlot(server);
+  m_system.End(query, m_system.Begin(query, server),
+               SendOutcome::kConnectionLost, "", milliseconds(1),
+               m_now.m_steady);
+  ASSERT_EQ(BuildReport().m_suspects.size(), 1U);
   m_system.Admit(query, 2, m_now);
-  const auto slot = m_system.TakeSlot(server);
+  const auto slot = m_system.AcquireSlot(server);
   ASSERT_TRUE(slot && slot->m_solo);
-  m_system.End(query, m_system.Begin(query, server), SendOutcome::kAnswered, "",
-               milliseconds(1), m_now.m_steady);
-  const SyncRequest report = Report();
+  m_system.End(query, m_system.Begin(query, server), SendOutcome::kResponded,
+               "", milliseconds(1), m_now.m_steady);
+  const SyncRequest report = BuildReport();
   ASSERT_EQ(report.m_suspects.size(), 1U);
   EXPECT_TRUE(report.m_suspects[0].m_cleared);
 }
 
 TEST_F(DispatchSystemTest, LostRequestDrainsUntilItsDeadline) {
   ASSERT_TRUE(Apply());
-  const DispatchQuery query = Query("a");
+  const DispatchQuery query = MakeQuery("a");
   const DispatchServerId server = m_system.Admit(query, 1, m_now);
-  m_system.TakeSlot(server);
-  m_system.End(query, m_system.Begin(query, server), SendOutcome::kLost, "",
-               milliseconds(1), m_now.m_steady);
+  m_system.AcquireSlot(server);
+  m_system.End(query, m_system.Begin(query, server),
+               SendOutcome::kConnectionLost, "", milliseconds(1),
+               m_now.m_steady);
   m_routes.m_partitions[0].m_held = true;
   ASSERT_TRUE(Apply());
-  EXPECT_EQ(Report().m_draining.size(), 1U);
+  EXPECT_EQ(BuildReport().m_draining.size(), 1U);
   m_now.m_steady += milliseconds(500);
   EXPECT_FALSE(m_system.Expire(m_now));
-  m_now.m_steady += DispatchSettings().m_wall_skew;
+  m_now.m_steady += DispatchSettings().m_max_wall_skew;
   EXPECT_TRUE(m_system.Expire(m_now));
-  EXPECT_TRUE(Report().m_draining.empty());
+  EXPECT_TRUE(BuildReport().m_draining.empty());
 }
 
-// A request that waited when its partition was let go did not run, so its id
-// must not travel to the next dispatcher.
-TEST_F(DispatchSystemTest, MemoryHoldsOnlyRequestsThatMayHaveRun) {
+// Guards against handing over the id of a request that was still waiting when
+// its partition was released: the request was not executed, so the next
+// dispatcher must not reject its retry as a duplicate.
+TEST_F(DispatchSystemTest, DedupStateContainsOnlyRequestsThatMayHaveRun) {
   ASSERT_TRUE(Apply());
-  const DispatchQuery ran = Query("ran");
-  const DispatchQuery waits = Query("waits");
+  const DispatchQuery ran = MakeQuery("ran");
+  const DispatchQuery waits = MakeQuery("waits");
   const DispatchServerId server = m_system.Admit(ran, 1, m_now);
-  m_system.TakeSlot(server);
+  m_system.AcquireSlot(server);
   const InFlightId in_flight = m_system.Begin(ran, server);
   m_system.Admit(waits, 2, m_now);
   m_routes.m_partitions[0].m_held = true;
   ASSERT_TRUE(Apply());
-  // Not complete while the other one is in flight.
-  EXPECT_TRUE(Report().m_memories.empty());
+  // The state is incomplete while the other request is in flight.
+  EXPECT_TRUE(BuildReport().m_memories.empty());
   m_system.Abandon(waits, server, 2);
-  EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kAnswered, "",
+  EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kResponded, "",
                            milliseconds(1), m_now.m_steady));
-  const SyncRequest report = Report();
+  const SyncRequest report = BuildReport();
   ASSERT_EQ(report.m_memories.size(), 1U);
   ASSERT_EQ(report.m_memories[0].m_seen.size(), 1U);
   EXPECT_EQ(report.m_memories[0].m_seen[0].m_hash,
-            SeenRegistry::HashOf(ran.m_id));
-  m_system.OnReportAnswered(report);
-  EXPECT_TRUE(Report().m_memories.empty());
+            DedupRegistry::HashOf(ran.m_id));
+  m_system.OnReportAcknowledged(report);
+  EXPECT_TRUE(BuildReport().m_memories.empty());
 }
 
-TEST_F(DispatchSystemTest, IdsAreDoubtedAfterALapse) {
+TEST_F(DispatchSystemTest, IdsAreUnverifiableAfterALeaseLapse) {
   ASSERT_TRUE(Apply());
-  m_system.Admit(Query("a"), ++m_ticket, m_now);
+  m_system.Admit(MakeQuery("a"), ++m_ticket, m_now);
   m_now.m_steady += milliseconds(1500);
   m_routes.m_partitions.pop_back();
   SyncResponse response;
@@ -177,7 +182,7 @@
   response.m_lease = milliseconds(1000);
   response.m_leased_servers = {"s"};
   ASSERT_TRUE(m_system.Apply("cell", response, m_now.m_steady, m_now));
-  EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kRequestUnverifiable);
+  EXPECT_EQ(AdmitError(MakeQuery("a")), ErrorCode::kRequestUnverifiable);
 }
 
 }  // namespace
--- a/tests/traffic/traffic_test.cc
+++ b/tests/traffic/traffic_test.cc
@@ -2,10 +2,10 @@
 
 #include "core/error.h"
 #include "traffic/concurrency_limit.h"
+#include "traffic/dedup_registry.h"
 #include "traffic/queue_strategy.h"
 #include "traffic/request_id.h"
 #include "traffic/retry_budget.h"
-#include "traffic/seen_registry.h"
 #include "traffic/token_budget.h"
 
 namespace foxtail {
@@ -25,13 +25,14 @@
   return ErrorCode::kInternal;
 }
 
-TEST(RequestIdTest, MadeIdsCanBeRead) {
-  const RequestId made = MakeRequestId(kNow);
-  const RequestId read = ParseRequestId(made.m_text, kNow, milliseconds(0));
-  EXPECT_EQ(read.m_issued, kNow);
+TEST(RequestIdTest, ParsesCreatedIds) {
+  const RequestId created = MakeRequestId(kNow);
+  const RequestId parsed =
+      ParseRequestId(created.m_text, kNow, milliseconds(0));
+  EXPECT_EQ(parsed.m_issued, kNow);
 }
 
-TEST(RequestIdTest, OtherFormsAreRefused) {
+TEST(RequestIdTest, RejectsMalformedIds) {
   for (const char* text :
        {"", "-", "1700000000000", "1700000000000-", "170000000000-a",
         "1700000000000_a", "1700000000000-a\n", "170000000000x-a",
@@ -42,8 +43,8 @@
   }
 }
 
-TEST(SeenRegistryTest, RepeatsAreKnownAndOldIdsDoubted) {
-  SeenRegistry registry(kNow, milliseconds(1000));
+TEST(DedupRegistryTest, DetectsDuplicatesAndUnverifiableIds) {
+  DedupRegistry registry(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   registry.Accept(id, false, kNow);
   EXPECT_EQ(CodeOf([&] { registry.Accept(id, false, kNow); }),
@@ -58,8 +59,8 @@
   registry.Accept(id, false, kNow);
 }
 
-TEST(SeenRegistryTest, ExpiredIdIsDoubtedNotAccepted) {
-  SeenRegistry registry(kNow, milliseconds(1000));
+TEST(DedupRegistryTest, ExpiredIdIsUnverifiable) {
+  DedupRegistry registry(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   registry.Accept(id, false, kNow);
   const WallTime later = kNow + milliseconds(1001);
@@ -69,35 +70,35 @@
             ErrorCode::kRequestUnverifiable);
 }
 
-TEST(SeenRegistryTest, MemoryMovesToTheNextDispatcher) {
-  SeenRegistry first(kNow, milliseconds(1000));
+TEST(DedupRegistryTest, ImportedStateDetectsDuplicates) {
+  DedupRegistry first(kNow, milliseconds(1000));
   const RequestId id{"1700000000000-a", kNow};
   first.Accept(id, false, kNow);
-  SeenRegistry second(kNow + milliseconds(500), milliseconds(1000));
+  DedupRegistry second(kNow + milliseconds(500), milliseconds(1000));
   second.Import(first.Export(3));
   EXPECT_EQ(CodeOf([&] { second.Accept(id, false, kNow); }),
             ErrorCode::kRequestDuplicate);
   second.Accept({"1700000000001-b", kNow + milliseconds(1)}, false, kNow);
 }
 
-TEST(FairQueueTest, WorkspacesShareByWeightWhateverTheyQueue) {
+TEST(FairQueueTest, SharesSlotsByWeightNotByQueueLength) {
   FairQueue queue;
   TicketNumber ticket = 0;
   for (int i = 0; i < 300; ++i) {
-    queue.Push(++ticket, "greedy", 1);
+    queue.Push(++ticket, "heavy", 1);
   }
-  const TicketNumber first_calm = ticket + 1;
+  const TicketNumber first_light = ticket + 1;
   for (int i = 0; i < 100; ++i) {
-    queue.Push(++ticket, "calm", 3);
+    queue.Push(++ticket, "light", 3);
   }
-  int calm = 0;
+  int light = 0;
   for (int i = 0; i < 80; ++i) {
-    calm += *queue.Pop() >= first_calm;
+    light += *queue.Pop() >= first_light;
   }
-  EXPECT_NEAR(calm, 60, 2);
+  EXPECT_NEAR(light, 60, 2);
 }
 
-TEST(FairQueueTest, RemovedTicketsDoNotComeBack) {
+TEST(FairQueueTest, DoesNotReturnRemovedTickets) {
   FairQueue queue;
   queue.Push(1, "a", 1);
   queue.Push(2, "a", 1);
@@ -106,40 +107,40 @@
   EXPECT_EQ(queue.Pop(), std::nullopt);
 }
 
-TEST(RampLimitTest, ColdServerGetsOneAtATimeUntilItIsWarm) {
+TEST(RampLimitTest, ColdServerIsLimitedToOneRequestUntilWarm) {
   RampLimit limit{RampSettings()};
   EXPECT_EQ(limit.Limit(6), 1U);
   for (int i = 0; i < 60; ++i) {
-    limit.OnAnswer("run-1", milliseconds(i < 30 ? 50 : 10));
+    limit.OnResponse("run-1", milliseconds(i < 30 ? 50 : 10));
     EXPECT_EQ(limit.Limit(6), 1U) << i;
   }
   for (int i = 0; i < 400; ++i) {
-    limit.OnAnswer("run-1", milliseconds(10));
+    limit.OnResponse("run-1", milliseconds(10));
   }
   EXPECT_EQ(limit.Limit(6), 6U);
   limit.OnConnectionLost();
   EXPECT_EQ(limit.Limit(6), 1U);
 }
 
-TEST(RampLimitTest, SlownessWithoutNoticeMakesAServerCold) {
+TEST(RampLimitTest, SlowResponsesMakeAServerCold) {
   RampLimit limit{RampSettings()};
   for (int i = 0; i < 400; ++i) {
-    limit.OnAnswer("run-1", milliseconds(10));
+    limit.OnResponse("run-1", milliseconds(10));
   }
   ASSERT_FALSE(limit.IsCold());
   for (int i = 0; i < 8; ++i) {
-    limit.OnAnswer("run-1", milliseconds(100));
+    limit.OnResponse("run-1", milliseconds(100));
   }
   EXPECT_TRUE(limit.IsCold());
 }
 
-TEST(RampLimitTest, ServerThatStaysSlowIsAcceptedInTheEnd) {
+TEST(RampLimitTest, ServerThatStaysSlowBecomesWarm) {
   RampLimit limit{RampSettings()};
   for (int i = 0; i < 400; ++i) {
-    limit.OnAnswer("run-1", milliseconds(10));
+    limit.OnResponse("run-1", milliseconds(10));
   }
   for (int i = 0; i < 1000; ++i) {
-    limit.OnAnswer("run-1", milliseconds(100));
+    limit.OnResponse("run-1", milliseconds(100));
   }
   EXPECT_FALSE(limit.IsCold());
 }
@@ -158,31 +159,31 @@
   EXPECT_NEAR(retries, 15, 1);
 }
 
-TEST(TokenBudgetTest, TokensAreUsedOnceAndRunOut) {
+TEST(TokenBudgetTest, TokensAreUsedOnceAndExpire) {
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
-  EXPECT_FALSE(budget.TryTake("club", start));
+  EXPECT_FALSE(budget.TryAcquire("club", start));
   TokenResponse response;
   response.m_lifetime = milliseconds(1000);
   response.m_grants = {{"club", 2}};
   budget.OnGrants(response, start);
-  EXPECT_TRUE(budget.TryTake("club", start));
-  EXPECT_FALSE(budget.TryTake("club", start + milliseconds(1000)));
+  EXPECT_TRUE(budget.TryAcquire("club", start));
+  EXPECT_FALSE(budget.TryAcquire("club", start + milliseconds(1000)));
 }
 
-TEST(TokenBudgetTest, SpentTokensAreReportedOnceAndSurplusGivenBack) {
+TEST(TokenBudgetTest, ReportsSpentTokensOnceAndReturnsSurplus) {
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
   TokenResponse response;
   response.m_lifetime = milliseconds(1000);
   response.m_grants = {{"club", 5}};
   budget.OnGrants(response, start);
-  ASSERT_TRUE(budget.TryTake("club", start));
+  ASSERT_TRUE(budget.TryAcquire("club", start));
   auto demands = budget.BuildDemands(start);
   ASSERT_EQ(demands.size(), 1U);
   EXPECT_EQ(demands[0].m_spent, 1);
   EXPECT_EQ(demands[0].m_returned, 4);
-  EXPECT_FALSE(budget.TryTake("club", start));
+  EXPECT_FALSE(budget.TryAcquire("club", start));
   EXPECT_TRUE(budget.BuildDemands(start).empty());
 }
 
