--- a/benchmarks/control/control_tick_benchmark.cc
+++ b/benchmarks/control/control_tick_benchmark.cc
@@ -15,9 +15,9 @@
   const TimePoint now = Clock::now();
   const uint32_t servers = std::max(1U, partitions / 4);
   tables.m_self = {"self", "127.0.0.1:1"};
-  tables.m_config.m_known = true;
-  tables.m_config.m_fresh_at = now;
-  tables.m_config.m_next_poll = TimePoint::max();
+  tables.m_config.m_loaded = true;
+  tables.m_config.m_last_poll_sent_at = now;
+  tables.m_config.m_next_poll_at = TimePoint::max();
   CellRow cell;
   cell.m_name = "catalogue";
   cell.m_service.m_name = cell.m_name;
@@ -25,18 +25,18 @@
   cell.m_lease.m_phase = LeasePhase::kHolding;
   cell.m_lease.m_authority_until = TimePoint::max();
   cell.m_lease.m_confirmed_at = TimePoint::max();
-  cell.m_lease.m_next_operation = TimePoint::max();
+  cell.m_lease.m_next_store_call_at = TimePoint::max();
   cell.m_assignment.m_phase = AssignmentPhase::kReady;
-  cell.m_next_rebalance = TimePoint::max();
+  cell.m_next_rebalance_at = TimePoint::max();
   const CellId cell_id = tables.m_cells.Insert(std::move(cell));
   CellRow& held = tables.m_cells.Get(cell_id);
   std::vector<DispatcherId> ids;
   for (uint32_t i = 0; i < dispatchers; ++i) {
     DispatcherRow row;
     row.m_cell = cell_id;
-    row.m_name = {"127.0.0.1:" + std::to_string(10000 + i), "run"};
-    row.m_last_sync = now + std::chrono::hours(1);
-    row.m_last_acknowledged = row.m_last_sync;
+    row.m_identity = {"127.0.0.1:" + std::to_string(10000 + i), "run"};
+    row.m_last_sync_at = now + std::chrono::hours(1);
+    row.m_last_acknowledged_at = row.m_last_sync_at;
     ids.push_back(tables.m_dispatchers.Insert(row));
   }
   for (uint32_t i = 0; i < servers; ++i) {
@@ -46,10 +46,10 @@
     server.m_config.m_address = "127.0.0.1:" + std::to_string(20000 + i);
     server.m_up = true;
     server.m_probed = true;
-    server.m_next_probe = TimePoint::max();
-    server.m_next_grant = TimePoint::max();
+    server.m_next_probe_at = TimePoint::max();
+    server.m_next_grant_at = TimePoint::max();
     server.m_dispatcher = ids[i % ids.size()];
-    server.m_lease_bound = TimePoint::max();
+    server.m_dispatch_lease_until = TimePoint::max();
     held.m_service.m_servers.push_back(server.m_config);
     held.m_servers[server.m_config.m_name] = tables.m_servers.Insert(server);
   }
@@ -66,7 +66,7 @@
     }
   }
   held.m_routed_service = held.m_service;
-  held.m_changed = true;
+  held.m_routes_dirty = true;
   return tables;
 }
 
@@ -88,11 +88,11 @@
   ControlTick tick(std::make_unique<BoundedLoadPlacement>(1.1));
   for (auto _ : state) {
     ControlInbox inbox;
-    SyncAsked asked;
+    ReceivedSyncRequest asked;
     asked.m_request.m_cell = "catalogue";
     asked.m_request.m_dispatcher = {"127.0.0.1:10000", "run"};
-    asked.m_received = Clock::now();
-    inbox.m_syncs.push_back(asked);
+    asked.m_received_at = Clock::now();
+    inbox.m_sync_requests.push_back(asked);
     ControlOutbox outbox;
     tick.Run(tables, inbox, outbox, ReadClocks());
     benchmark::DoNotOptimize(outbox);
--- a/src/apps/foxtail_control.cc
+++ b/src/apps/foxtail_control.cc
@@ -35,11 +35,11 @@
                 "--placement = '" + settings.m_placement +
                     "'; allowed: bounded, rendezvous");
   }
-  const auto least = settings.m_lease_hold * kLeaseMargin;
-  if (settings.m_lease_take < least) {
+  const auto least = settings.m_lease_ttl * kLeaseMargin;
+  if (settings.m_takeover_delay < least) {
     throw Error(ErrorCode::kSettingInvalid,
                 "--lease-take = '" +
-                    std::to_string(settings.m_lease_take.count()) +
+                    std::to_string(settings.m_takeover_delay.count()) +
                     "'; allowed: at least 5% more than --lease-hold");
   }
   return kExitDone;
@@ -126,7 +126,7 @@
     StartFiber([&, rpc, address] {
       while (!stopping) {
         try {
-          const PeerAnswer peer = rpc.Hello(address);
+          const PeerResponse peer = rpc.Hello(address);
           loop.NotePeer(peer.m_peer, peer.m_data_centre);
         } catch (const Error&) {
           // A silent peer is forgotten after a while.
--- a/src/control/assignment_system.cc
+++ b/src/control/assignment_system.cc
@@ -11,7 +11,7 @@
 
 constexpr milliseconds kRetryDelay{50};
 
-RowKey KeyOf(const CellRow& cell) {
+RowKey AssignmentKey(const CellRow& cell) {
   return {"assignment", cell.m_name};
 }
 
@@ -26,17 +26,17 @@
         m_cell(cell),
         m_state(cell.m_assignment) {}
 
-  void OnRead(const RowAnswer& answer) {
-    m_state.m_busy = false;
-    if (answer.m_result.m_outcome == RowOutcome::kNoAnswer) {
-      m_state.m_next_operation = m_now + kRetryDelay;
+  void OnRead(const RowResponse& response) {
+    m_state.m_store_call_in_flight = false;
+    if (response.m_result.m_outcome == RowOutcome::kNoAnswer) {
+      m_state.m_next_store_call_at = m_now + kRetryDelay;
       return;
     }
     const auto* record =
-        std::get_if<AssignmentRecord>(&answer.m_result.m_value);
-    m_state.m_row_version = record ? answer.m_result.m_version : 0;
+        std::get_if<AssignmentRecord>(&response.m_result.m_value);
+    m_state.m_row_version = record ? response.m_result.m_version : 0;
     m_state.m_record = record ? *record : AssignmentRecord();
-    m_state.m_uncertain = false;
+    m_state.m_write_outcome_unknown = false;
     if (m_state.m_phase == AssignmentPhase::kUnread) {
       m_state.m_phase = AssignmentPhase::kUnfenced;
       return;
@@ -47,19 +47,19 @@
       m_state = AssignmentState();
       return;
     }
-    FinishWrite();
+    ApplyStoredRecord();
   }
 
-  void OnWritten(const RowAnswer& answer) {
-    m_state.m_busy = false;
-    if (answer.m_result.m_outcome != RowOutcome::kDone) {
-      m_state.m_uncertain = true;
-      m_state.m_next_operation = m_now + kRetryDelay;
+  void OnWritten(const RowResponse& response) {
+    m_state.m_store_call_in_flight = false;
+    if (response.m_result.m_outcome != RowOutcome::kDone) {
+      m_state.m_write_outcome_unknown = true;
+      m_state.m_next_store_call_at = m_now + kRetryDelay;
       return;
     }
-    m_state.m_row_version = answer.m_result.m_version;
-    m_state.m_record = m_state.m_pending;
-    FinishWrite();
+    m_state.m_row_version = response.m_result.m_version;
+    m_state.m_record = m_state.m_pending_record;
+    ApplyStoredRecord();
   }
 
   void Advance() {
@@ -70,12 +70,14 @@
       return;
     }
     if (m_state.m_phase == AssignmentPhase::kReady) {
-      AlignPartitions(m_tables, m_id, m_cell, m_now);
+      ReconcilePartitions(m_tables, m_id, m_cell, m_now);
     }
-    if (m_state.m_busy || m_now < m_state.m_next_operation) {
+    if (m_state.m_store_call_in_flight ||
+        m_now < m_state.m_next_store_call_at) {
       return;
     }
-    if (m_state.m_phase == AssignmentPhase::kUnread || m_state.m_uncertain) {
+    if (m_state.m_phase == AssignmentPhase::kUnread ||
+        m_state.m_write_outcome_unknown) {
       Read();
       return;
     }
@@ -88,30 +90,30 @@
       return;
     }
     if (NeedsRecording()) {
-      Write(Compose());
+      Write(ComposeRecord());
     }
   }
 
  private:
   void Read() {
-    m_state.m_busy = true;
+    m_state.m_store_call_in_flight = true;
     m_context.m_outbox.m_reads.push_back(
-        {RowPurpose::kAssignment, m_id, KeyOf(m_cell)});
+        {RowPurpose::kAssignment, m_id, AssignmentKey(m_cell)});
   }
 
   void Write(AssignmentRecord record) {
     record.m_control_epoch = m_cell.m_lease.m_record.m_epoch;
     ++record.m_version;
-    m_state.m_busy = true;
+    m_state.m_store_call_in_flight = true;
     m_state.m_dirty = false;
-    m_state.m_pending = record;
-    m_context.m_outbox.m_writes.push_back({RowPurpose::kAssignment, m_id,
-                                           KeyOf(m_cell), m_state.m_row_version,
-                                           std::move(record)});
+    m_state.m_pending_record = record;
+    m_context.m_outbox.m_writes.push_back(
+        {RowPurpose::kAssignment, m_id, AssignmentKey(m_cell),
+         m_state.m_row_version, std::move(record)});
   }
 
   // The platform holds `m_record` now, whoever's write put it there.
-  void FinishWrite() {
+  void ApplyStoredRecord() {
     const uint64_t epoch = m_cell.m_lease.m_record.m_epoch;
     if (m_state.m_record.m_control_epoch != epoch) {
       return;
@@ -121,7 +123,7 @@
       LoadPartitions(m_tables, m_id, m_cell, m_now);
       return;
     }
-    const size_t moves = ApplyRecord(m_tables, m_cell, m_state.m_record);
+    const size_t moves = ApplyAssignment(m_tables, m_cell, m_state.m_record);
     if (moves > 0) {
       m_context.m_outbox.m_events.push_back(
           {EventNumber::kAssignmentRecorded,
@@ -140,12 +142,12 @@
            });
   }
 
-  std::string NameOf(BackendServerId id) const {
+  std::string ServerName(BackendServerId id) const {
     const BackendServerRow* server = m_tables.m_servers.Find(id);
     return server ? server->m_config.m_name : "";
   }
 
-  AssignmentRecord Compose() const {
+  AssignmentRecord ComposeRecord() const {
     AssignmentRecord record;
     record.m_version = m_state.m_record.m_version;
     for (const auto& [number, id] : m_cell.m_partitions) {
@@ -153,13 +155,14 @@
       PartitionOwner owner;
       owner.m_number = number;
       if (partition.m_phase == MovePhase::kRecording) {
-        owner.m_server = partition.m_retiring ? "" : NameOf(partition.m_target);
+        owner.m_server =
+            partition.m_retiring ? "" : ServerName(partition.m_target);
         owner.m_epoch = partition.m_epoch + 1;
-        owner.m_previous = NameOf(partition.m_owner);
+        owner.m_previous = ServerName(partition.m_owner);
       } else {
-        owner.m_server = NameOf(partition.m_owner);
+        owner.m_server = ServerName(partition.m_owner);
         owner.m_epoch = partition.m_epoch;
-        owner.m_previous = NameOf(partition.m_previous);
+        owner.m_previous = ServerName(partition.m_previous_owner);
       }
       record.m_owners.push_back(std::move(owner));
     }
@@ -178,17 +181,17 @@
 
 void AssignmentSystem::Run(ControlContext& context) {
   ControlTables& tables = context.m_tables;
-  for (const RowAnswer& answer : context.m_inbox.m_rows) {
-    CellRow* cell = tables.m_cells.Find(answer.m_cell);
-    if (!cell || answer.m_purpose != RowPurpose::kAssignment ||
-        !cell->m_assignment.m_busy) {
+  for (const RowResponse& response : context.m_inbox.m_row_responses) {
+    CellRow* cell = tables.m_cells.Find(response.m_cell);
+    if (!cell || response.m_purpose != RowPurpose::kAssignment ||
+        !cell->m_assignment.m_store_call_in_flight) {
       continue;
     }
-    CellAssignment assignment(context, answer.m_cell, *cell);
-    if (answer.m_write) {
-      assignment.OnWritten(answer);
+    CellAssignment assignment(context, response.m_cell, *cell);
+    if (response.m_is_write) {
+      assignment.OnWritten(response);
     } else {
-      assignment.OnRead(answer);
+      assignment.OnRead(response);
     }
   }
   tables.m_cells.ForEach([&](CellId id, CellRow& cell) {
--- a/src/control/config_system.cc
+++ b/src/control/config_system.cc
@@ -5,7 +5,7 @@
 namespace foxtail {
 namespace {
 
-RowKey VersionKey() {
+RowKey CurrentVersionKey() {
   return {"config", "current"};
 }
 
@@ -24,7 +24,7 @@
   return tables.m_cells.Insert(std::move(cell));
 }
 
-void AlignServers(ControlTables& tables, CellId cell_id, CellRow& cell) {
+void ReconcileServers(ControlTables& tables, CellId cell_id, CellRow& cell) {
   for (auto& [name, id] : cell.m_servers) {
     BackendServerRow& server = tables.m_servers.Get(id);
     server.m_removed = true;
@@ -37,9 +37,10 @@
       BackendServerRow& server = tables.m_servers.Get(id);
       server.m_cell = cell_id;
       // The dispatchers of an earlier controller are not known yet.
-      server.m_send_bound =
-          cell.m_predecessor_end +
-          WithDrift(tables.m_settings, tables.m_settings.m_dispatch_excess);
+      server.m_may_send_until =
+          cell.m_predecessor_active_until +
+          AddClockDrift(tables.m_settings,
+                        tables.m_settings.m_max_dispatch_lease_overrun);
     }
     BackendServerRow& server = tables.m_servers.Get(id);
     server.m_config = config;
@@ -48,7 +49,7 @@
   }
 }
 
-void AlignCells(ControlTables& tables) {
+void ReconcileCells(ControlTables& tables) {
   const Configuration& configuration = tables.m_config.m_configuration;
   FindOrAddCell(tables, kAccessCell);
   for (const ServiceConfig& service : configuration.m_services) {
@@ -62,13 +63,13 @@
     cell.m_removed = service == nullptr;
     if (service) {
       cell.m_service = *service;
-      AlignServers(tables, id, cell);
+      ReconcileServers(tables, id, cell);
     }
-    cell.m_changed = true;
+    cell.m_routes_dirty = true;
   });
 }
 
-void AlignWorkspaces(ControlTables& tables) {
+void ReconcileWorkspaces(ControlTables& tables) {
   const auto& wanted = tables.m_config.m_configuration.m_workspaces;
   tables.m_workspaces.ForEach([&](auto id, WorkspaceRow& row) {
     if (std::ranges::find(wanted, row.m_config.m_name,
@@ -87,18 +88,18 @@
   }
 }
 
-void Adopt(ControlContext& context,
-           uint64_t version,
-           const Configuration& configuration) {
+void ApplyConfiguration(ControlContext& context,
+                        uint64_t version,
+                        const Configuration& configuration) {
   ControlTables& tables = context.m_tables;
-  if (version <= tables.m_config.m_version && tables.m_config.m_known) {
+  if (version <= tables.m_config.m_version && tables.m_config.m_loaded) {
     return;
   }
   tables.m_config.m_version = version;
   tables.m_config.m_configuration = configuration;
-  tables.m_config.m_known = true;
-  AlignCells(tables);
-  AlignWorkspaces(tables);
+  tables.m_config.m_loaded = true;
+  ReconcileCells(tables);
+  ReconcileWorkspaces(tables);
   auto view = std::make_shared<AccessView>();
   view->m_version = version;
   view->m_workspaces = configuration.m_workspaces;
@@ -110,57 +111,59 @@
       {EventNumber::kConfigurationInForce, {{"version", version}}});
 }
 
-void OnVersion(ControlContext& context, const RowAnswer& answer) {
+void OnVersionRead(ControlContext& context, const RowResponse& response) {
   ControlTables& tables = context.m_tables;
-  tables.m_config.m_busy = false;
-  if (answer.m_result.m_outcome == RowOutcome::kNoAnswer) {
+  tables.m_config.m_store_call_in_flight = false;
+  if (response.m_result.m_outcome == RowOutcome::kNoAnswer) {
     return;
   }
-  tables.m_config.m_fresh_at = answer.m_sent;
-  const auto* record = std::get_if<VersionRecord>(&answer.m_result.m_value);
+  tables.m_config.m_last_poll_sent_at = response.m_sent_at;
+  const auto* record = std::get_if<VersionRecord>(&response.m_result.m_value);
   if (!record) {
-    Adopt(context, 0, Configuration());
+    ApplyConfiguration(context, 0, Configuration());
     return;
   }
   if (record->m_version > tables.m_config.m_version ||
-      !tables.m_config.m_known) {
-    tables.m_config.m_busy = true;
+      !tables.m_config.m_loaded) {
+    tables.m_config.m_store_call_in_flight = true;
     context.m_outbox.m_reads.push_back(
         {RowPurpose::kConfigDocument, {}, DocumentKey(*record)});
     tables.m_config.m_reading_version = record->m_version;
   }
 }
 
-void OnDocument(ControlContext& context, const RowAnswer& answer) {
+void OnDocumentRead(ControlContext& context, const RowResponse& response) {
   ControlTables& tables = context.m_tables;
-  tables.m_config.m_busy = false;
-  const auto* record = std::get_if<PlanRecord>(&answer.m_result.m_value);
+  tables.m_config.m_store_call_in_flight = false;
+  const auto* record = std::get_if<PlanRecord>(&response.m_result.m_value);
   if (record) {
-    Adopt(context, tables.m_config.m_reading_version, record->m_configuration);
+    ApplyConfiguration(context, tables.m_config.m_reading_version,
+                       record->m_configuration);
   } else {
-    tables.m_config.m_next_poll = context.m_now.m_steady;
+    tables.m_config.m_next_poll_at = context.m_now.m_steady;
   }
 }
 
 }  // namespace
 
 void ConfigSystem::Run(ControlContext& context) {
-  for (const RowAnswer& answer : context.m_inbox.m_rows) {
-    if (answer.m_purpose == RowPurpose::kConfigVersion) {
-      OnVersion(context, answer);
-    } else if (answer.m_purpose == RowPurpose::kConfigDocument) {
-      OnDocument(context, answer);
+  for (const RowResponse& response : context.m_inbox.m_row_responses) {
+    if (response.m_purpose == RowPurpose::kConfigVersion) {
+      OnVersionRead(context, response);
+    } else if (response.m_purpose == RowPurpose::kConfigDocument) {
+      OnDocumentRead(context, response);
     }
   }
   ConfigState& config = context.m_tables.m_config;
-  if (config.m_busy || context.m_now.m_steady < config.m_next_poll) {
+  if (config.m_store_call_in_flight ||
+      context.m_now.m_steady < config.m_next_poll_at) {
     return;
   }
-  config.m_busy = true;
-  config.m_next_poll =
-      context.m_now.m_steady + context.m_tables.m_settings.m_config_poll;
+  config.m_store_call_in_flight = true;
+  config.m_next_poll_at =
+      context.m_now.m_steady + context.m_tables.m_settings.m_config_poll_period;
   context.m_outbox.m_reads.push_back(
-      {RowPurpose::kConfigVersion, {}, VersionKey()});
+      {RowPurpose::kConfigVersion, {}, CurrentVersionKey()});
 }
 
 }  // namespace foxtail
--- a/src/control/control_messages.h
+++ b/src/control/control_messages.h
@@ -20,25 +20,25 @@
 };
 
 /// A platform read or write that ended.
-struct RowAnswer {
+struct RowResponse {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
-  bool m_write = false;
+  bool m_is_write = false;
   RowResult m_result;
-  TimePoint m_sent;
+  TimePoint m_sent_at;
 };
 
 /// A standby's answer to a request for a promise.
-struct PromiseAnswer {
+struct PromiseResponse {
   CellId m_cell;
   ControlInstance m_standby;
   uint64_t m_epoch = 0;
   bool m_given = false;
-  TimePoint m_sent;
+  TimePoint m_sent_at;
 };
 
 /// A holder's request for a promise.
-struct PromiseAsked {
+struct ReceivedPromiseRequest {
   uint64_t m_handle = 0;
   std::string m_cell;
   ControlInstance m_holder;
@@ -46,61 +46,61 @@
 };
 
 /// A backend server's answer to a grant, or its absence.
-struct GrantAnswer {
+struct GrantResponse {
   BackendServerId m_server;
   uint64_t m_number = 0;
   bool m_accepted = false;
-  std::string m_instance;
+  std::string m_incarnation;
 };
 
 /// A backend server's answer to a probe, or its absence.
-struct ProbeAnswer {
+struct ProbeResponse {
   BackendServerId m_server;
   bool m_answered = false;
-  std::string m_instance;
+  std::string m_incarnation;
 };
 
 /// A dispatcher's sync request.
-struct SyncAsked {
+struct ReceivedSyncRequest {
   uint64_t m_handle = 0;
   SyncRequest m_request;
-  TimePoint m_received;
+  TimePoint m_received_at;
 };
 
 /// An entry's request for tokens.
-struct TokensAsked {
+struct ReceivedTokenRequest {
   uint64_t m_handle = 0;
   TokenRequest m_request;
-  TimePoint m_received;
+  TimePoint m_received_at;
 };
 
 /// Another control process that answered.
-struct PeerAnswer {
+struct PeerResponse {
   ControlInstance m_peer;
   std::string m_data_centre;
 };
 
 /// Everything that arrived since the last tick.
 struct ControlInbox {
-  std::vector<RowAnswer> m_rows;
-  std::vector<PromiseAnswer> m_promises;
-  std::vector<PromiseAsked> m_promises_asked;
-  std::vector<GrantAnswer> m_grants;
-  std::vector<ProbeAnswer> m_probes;
-  std::vector<SyncAsked> m_syncs;
-  std::vector<TokensAsked> m_tokens;
-  std::vector<PeerAnswer> m_peers;
+  std::vector<RowResponse> m_row_responses;
+  std::vector<PromiseResponse> m_promise_responses;
+  std::vector<ReceivedPromiseRequest> m_promise_requests;
+  std::vector<GrantResponse> m_grant_responses;
+  std::vector<ProbeResponse> m_probe_responses;
+  std::vector<ReceivedSyncRequest> m_sync_requests;
+  std::vector<ReceivedTokenRequest> m_token_requests;
+  std::vector<PeerResponse> m_peer_responses;
 };
 
 /// Read a platform row.
-struct ReadRow {
+struct ReadRecordCommand {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
   RowKey m_key;
 };
 
 /// Write a platform row if it has a version.
-struct WriteRow {
+struct WriteRecordCommand {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
   RowKey m_key;
@@ -109,7 +109,7 @@
 };
 
 /// Ask a standby not to take over.
-struct AskPromise {
+struct RequestPromiseCommand {
   CellId m_cell;
   std::string m_cell_name;
   ControlInstance m_standby;
@@ -117,58 +117,58 @@
 };
 
 /// Answer a holder.
-struct GivePromise {
+struct PromiseResponseCommand {
   uint64_t m_handle = 0;
   bool m_given = false;
 };
 
 /// Send a backend server the whole list of its grants.
-struct SendGrant {
+struct SendGrantCommand {
   BackendServerId m_server;
   std::string m_address;
   std::string m_cell_name;
   uint64_t m_control_epoch = 0;
   uint64_t m_number = 0;
-  std::chrono::milliseconds m_lifetime{0};
-  WallTime m_expires;
+  std::chrono::milliseconds m_ttl{0};
+  WallTime m_expires_at;
   std::map<PartitionNumber, uint64_t> m_partitions;
 };
 
 /// Probe a backend server's health.
-struct SendProbe {
+struct SendProbeCommand {
   BackendServerId m_server;
   std::string m_address;
 };
 
 /// Answer a dispatcher.
-struct AnswerSync {
+struct SyncResponseCommand {
   uint64_t m_handle = 0;
   SyncResponse m_response;
 };
 
 /// Answer an entry's request for tokens.
-struct AnswerTokens {
+struct TokenResponseCommand {
   uint64_t m_handle = 0;
   TokenResponse m_response;
 };
 
 /// Write an event.
-struct NoteEvent {
+struct LogEventCommand {
   EventNumber m_number = EventNumber::kInternalFailure;
   std::vector<EventField> m_fields;
 };
 
 /// Everything that a tick wants done outside.
 struct ControlOutbox {
-  std::vector<ReadRow> m_reads;
-  std::vector<WriteRow> m_writes;
-  std::vector<AskPromise> m_promises;
-  std::vector<GivePromise> m_promise_answers;
-  std::vector<SendGrant> m_grants;
-  std::vector<SendProbe> m_probes;
-  std::vector<AnswerSync> m_syncs;
-  std::vector<AnswerTokens> m_tokens;
-  std::vector<NoteEvent> m_events;
+  std::vector<ReadRecordCommand> m_reads;
+  std::vector<WriteRecordCommand> m_writes;
+  std::vector<RequestPromiseCommand> m_promise_requests;
+  std::vector<PromiseResponseCommand> m_promise_responses;
+  std::vector<SendGrantCommand> m_grants;
+  std::vector<SendProbeCommand> m_probes;
+  std::vector<SyncResponseCommand> m_sync_responses;
+  std::vector<TokenResponseCommand> m_token_responses;
+  std::vector<LogEventCommand> m_events;
 };
 
 /// What each system of a tick works on.
--- a/src/control/control_tables.cc
+++ b/src/control/control_tables.cc
@@ -17,14 +17,14 @@
          cell.m_assignment.m_phase == AssignmentPhase::kReady;
 }
 
-Duration WithDrift(const ControlSettings& settings, Duration duration) {
+Duration AddClockDrift(const ControlSettings& settings, Duration duration) {
   return std::chrono::duration_cast<Duration>(duration *
                                               (1.0 + settings.m_clock_drift));
 }
 
 bool ConfigIsFresh(const ControlTables& tables, const CellRow& cell) {
-  return tables.m_config.m_known &&
-         tables.m_config.m_fresh_at >= cell.m_taken_over_at;
+  return tables.m_config.m_loaded &&
+         tables.m_config.m_last_poll_sent_at >= cell.m_taken_over_at;
 }
 
 }  // namespace foxtail
--- a/src/control/control_tables.h
+++ b/src/control/control_tables.h
@@ -28,9 +28,9 @@
 
 /// Another control process.
 struct PeerRow {
-  ControlInstance m_self;
+  ControlInstance m_process;
   std::string m_data_centre;
-  TimePoint m_seen;
+  TimePoint m_last_seen_at;
 };
 
 /// State of this process with regard to the control lease of a cell. The model
@@ -39,7 +39,7 @@
   /// Another process holds the lease, or nobody does.
   kWatching,
   /// A takeover was written and its outcome is not known yet.
-  kTaking,
+  kAcquiring,
   /// This process holds the lease.
   kHolding,
   /// This process gives the lease back.
@@ -53,26 +53,26 @@
   /// Row as last read or written, and the version of the platform's row.
   LeaseRecord m_record;
   uint64_t m_row_version = 0;
-  bool m_row_known = false;
+  bool m_row_loaded = false;
 
   /// When the row was first seen as it is.
   TimePoint m_unchanged_since;
 
   /// Whether the last read of the row was answered.
-  bool m_platform_answers = false;
+  bool m_platform_responds = false;
 
   /// A read or write is on its way.
-  bool m_busy = false;
-  TimePoint m_read_sent;
-  TimePoint m_next_operation;
+  bool m_store_call_in_flight = false;
+  TimePoint m_read_sent_at;
+  TimePoint m_next_store_call_at;
 
   /// The record that was written without an answer, and when it was sent.
-  LeaseRecord m_pending;
-  TimePoint m_pending_sent;
+  LeaseRecord m_pending_record;
+  TimePoint m_pending_sent_at;
 
   /// Row version that the pending write requires.
-  uint64_t m_pending_base = 0;
-  bool m_uncertain = false;
+  uint64_t m_pending_base_version = 0;
+  bool m_write_outcome_unknown = false;
 
   /// The holder acts only before this time.
   TimePoint m_authority_until;
@@ -82,7 +82,7 @@
 
   /// Standbys that might take over, and until when each promised not to.
   std::map<ControlInstance, TimePoint> m_promises;
-  TimePoint m_next_promise_round;
+  TimePoint m_next_promise_round_at;
   bool m_extended = false;
 
   /// As a standby: until when this process promised not to take over.
@@ -105,27 +105,27 @@
   uint64_t m_row_version = 0;
 
   /// The record being written.
-  AssignmentRecord m_pending;
-  bool m_busy = false;
+  AssignmentRecord m_pending_record;
+  bool m_store_call_in_flight = false;
 
   /// The last write was not answered: the row must be read again.
-  bool m_uncertain = false;
+  bool m_write_outcome_unknown = false;
 
   /// Rows changed in a way that should be recorded without haste.
   bool m_dirty = false;
-  TimePoint m_next_operation;
+  TimePoint m_next_store_call_at;
 };
 
 /// A sync request that waits for news.
-struct ParkedSync {
+struct PendingSync {
   uint64_t m_handle = 0;
   DispatcherId m_dispatcher;
-  TimePoint m_received;
-  TimePoint m_answer_by;
+  TimePoint m_received_at;
+  TimePoint m_respond_at;
   uint64_t m_routes_version = 0;
   uint64_t m_routes_epoch = 0;
   uint64_t m_access_version = 0;
-  bool m_answer_now = false;
+  bool m_superseded = false;
 };
 
 /// A cell: one service, or the admission of all workspaces.
@@ -142,18 +142,18 @@
   AssignmentState m_assignment;
   std::map<std::string, BackendServerId> m_servers;
   std::map<PartitionNumber, PartitionId> m_partitions;
-  std::vector<ParkedSync> m_parked;
+  std::vector<PendingSync> m_pending_syncs;
 
   /// Routes as last published, and whether rows changed since.
   std::shared_ptr<const CellRoutes> m_routes;
   uint64_t m_routes_version = 0;
-  bool m_changed = true;
-  uint64_t m_response_number = 0;
+  bool m_routes_dirty = true;
+  uint64_t m_last_response_number = 0;
   TimePoint m_taken_over_at;
 
   /// The controller before acted on nothing after this time.
-  TimePoint m_predecessor_end;
-  TimePoint m_next_rebalance;
+  TimePoint m_predecessor_active_until;
+  TimePoint m_next_rebalance_at;
 
   bool IsAccess() const { return m_name == kAccessCell; }
 };
@@ -173,41 +173,41 @@
 
   /// A probe was answered or failed since the lease was taken.
   bool m_probed = false;
-  bool m_probe_busy = false;
-  TimePoint m_next_probe;
+  bool m_probe_in_flight = false;
+  TimePoint m_next_probe_at;
   uint32_t m_probe_failures = 0;
 
   /// Id of the server's run, from its answers.
-  std::string m_instance;
+  std::string m_incarnation;
 
   /// The only dispatcher that may send to it.
   DispatcherId m_dispatcher;
 
   /// The dispatcher is being replaced and must let go first.
-  bool m_dispatcher_leaving = false;
+  bool m_dispatcher_releasing = false;
 
   /// Response number from which the leaving dispatcher has no lease.
-  uint64_t m_dispatcher_dropped_at = 0;
+  uint64_t m_dispatcher_removed_in_response = 0;
 
   /// The dispatcher's lease has lapsed after this time.
-  TimePoint m_lease_bound;
+  TimePoint m_dispatch_lease_until;
 
   /// Until then a lost or unknown dispatcher may still send.
-  TimePoint m_send_bound;
+  TimePoint m_may_send_until;
 
   /// Until then a request of such a dispatcher may still run.
-  TimePoint m_run_bound;
+  TimePoint m_may_run_until;
 
   /// Grants that may be in force, unless unknown; and the confirmed list.
-  std::set<PartitionNumber> m_maybe_granted;
-  bool m_grants_known = false;
-  std::map<PartitionNumber, uint64_t> m_granted;
-  std::map<PartitionNumber, uint64_t> m_granting;
-  uint64_t m_grant_number = 0;
-  bool m_grant_busy = false;
+  std::set<PartitionNumber> m_possible_grants;
+  bool m_possible_grants_known = false;
+  std::map<PartitionNumber, uint64_t> m_confirmed_grants;
+  std::map<PartitionNumber, uint64_t> m_pending_grants;
+  uint64_t m_last_grant_number = 0;
+  bool m_grant_in_flight = false;
   bool m_grant_due = false;
-  TimePoint m_next_grant;
-  TimePoint m_grant_bound;
+  TimePoint m_next_grant_at;
+  TimePoint m_grants_valid_until;
 
   /// Requests in flight and answered a second, from dispatchers' reports.
   uint32_t m_in_flight = 0;
@@ -216,7 +216,7 @@
 
 /// Progress of a partition's change of owner.
 enum class MovePhase {
-  kSettled,
+  kStable,
   /// The new owner is being written to the platform.
   kRecording,
   /// The old owner's dispatcher must let go, or its lease must lapse.
@@ -233,17 +233,17 @@
   PartitionNumber m_number = 0;
   BackendServerId m_owner;
   uint64_t m_epoch = 0;
-  MovePhase m_phase = MovePhase::kSettled;
+  MovePhase m_phase = MovePhase::kStable;
 
   /// While recording: the owner being written.
   BackendServerId m_target;
 
   /// While releasing or revoking: the owner before.
-  BackendServerId m_previous;
-  TimePoint m_move_started;
+  BackendServerId m_previous_owner;
+  TimePoint m_move_started_at;
 
   /// Routes version in which it was first held or absent.
-  uint64_t m_dropped_at = 0;
+  uint64_t m_paused_in_routes_version = 0;
 
   /// Partitions whose old right must end first (a pinned key leaves or joins
   /// its hash range).
@@ -256,32 +256,32 @@
   std::string m_pinned_to;
 
   /// The platform's row still names the previous owner.
-  bool m_previous_recorded = false;
+  bool m_previous_owner_recorded = false;
 
   /// Requests a second, smoothed.
   double m_load = 0;
-  TimePoint m_settled_at;
+  TimePoint m_stable_since;
 };
 
 /// A dispatcher: one traffic thread of an entry, as known to one cell.
 struct DispatcherRow {
   CellId m_cell;
-  DispatcherName m_name;
+  DispatcherName m_identity;
   std::string m_data_centre;
 
-  TimePoint m_last_sync;
+  TimePoint m_last_sync_at;
 
   /// When it last showed that it acts on a newer answer. A dispatcher whose
   /// requests arrive while answers to it are lost is no use.
-  TimePoint m_last_acknowledged;
-  TimePoint m_last_load;
+  TimePoint m_last_acknowledged_at;
+  TimePoint m_last_load_at;
   uint64_t m_control_epoch = 0;
   uint64_t m_routes_version = 0;
   uint64_t m_config_version = 0;
   uint64_t m_applied_number = 0;
   std::set<PartitionNumber> m_draining;
   std::set<std::string> m_draining_servers;
-  bool m_leaving = false;
+  bool m_shutting_down = false;
 };
 
 /// A workspace of the access cell.
@@ -290,33 +290,33 @@
 };
 
 /// What a dispatcher handed over with a partition.
-struct MemoryRow {
+struct DedupStateRow {
   CellId m_cell;
-  PartitionMemory m_memory;
-  TimePoint m_until;
+  PartitionMemory m_dedup_state;
+  TimePoint m_retained_until;
 };
 
 /// Crashes connected with a request fingerprint.
 struct CrashRow {
   CellId m_cell;
   CrashSuspect m_suspect;
-  bool m_condemned = false;
-  TimePoint m_until;
+  bool m_quarantined = false;
+  TimePoint m_retained_until;
 };
 
 /// The configuration in force.
 struct ConfigState {
   uint64_t m_version = 0;
   Configuration m_configuration;
-  bool m_known = false;
-  bool m_busy = false;
-  TimePoint m_next_poll;
+  bool m_loaded = false;
+  bool m_store_call_in_flight = false;
+  TimePoint m_next_poll_at;
 
   /// Version whose document is being read.
   uint64_t m_reading_version = 0;
 
   /// When the newest answered poll was sent.
-  TimePoint m_fresh_at;
+  TimePoint m_last_poll_sent_at;
 };
 
 /// All state of the control thread.
@@ -324,7 +324,7 @@
   ControlSettings m_settings;
   ControlInstance m_self;
   std::string m_data_centre;
-  TimePoint m_started;
+  TimePoint m_started_at;
   bool m_stopping = false;
   ConfigState m_config;
   std::shared_ptr<const AccessView> m_access;
@@ -334,7 +334,7 @@
   Table<PartitionRow> m_partitions;
   Table<DispatcherRow> m_dispatchers;
   Table<WorkspaceRow> m_workspaces;
-  Table<MemoryRow> m_memories;
+  Table<DedupStateRow> m_dedup_states;
   Table<CrashRow> m_crashes;
 };
 
@@ -352,6 +352,6 @@
 bool ConfigIsFresh(const ControlTables& tables, const CellRow& cell);
 
 /// Adds the clocks' drift to a duration measured by another host.
-Duration WithDrift(const ControlSettings& settings, Duration duration);
+Duration AddClockDrift(const ControlSettings& settings, Duration duration);
 
 }  // namespace foxtail
--- a/src/control/dispatcher_system.cc
+++ b/src/control/dispatcher_system.cc
@@ -11,31 +11,31 @@
 
 // A cell waits this long for dispatchers to report before it appoints any, so
 // that the first to report does not receive every server.
-constexpr milliseconds kGatherTime{100};
-constexpr milliseconds kForgetAfter{5000};
+constexpr milliseconds kReportGracePeriod{100};
+constexpr milliseconds kDispatcherRetention{5000};
 
 // Time over which loads are averaged.
-constexpr milliseconds kLoadMemory{2000};
+constexpr milliseconds kLoadAveragingTime{2000};
 
-DispatcherId FindOrAdd(ControlTables& tables,
-                       CellId cell_id,
-                       const SyncRequest& request,
-                       bool& known) {
+DispatcherId FindOrAddDispatcher(ControlTables& tables,
+                                 CellId cell_id,
+                                 const SyncRequest& request,
+                                 bool& was_known) {
   const DispatcherId found =
       tables.m_dispatchers.FindIf([&](const DispatcherRow& row) {
-        return row.m_cell == cell_id && row.m_name == request.m_dispatcher;
+        return row.m_cell == cell_id && row.m_identity == request.m_dispatcher;
       });
   if (found.IsValid()) {
     return found;
   }
-  known = false;
+  was_known = false;
   DispatcherRow row;
   row.m_cell = cell_id;
-  row.m_name = request.m_dispatcher;
+  row.m_identity = request.m_dispatcher;
   return tables.m_dispatchers.Insert(std::move(row));
 }
 
-std::string HolderHint(const CellRow& cell, const ControlTables& tables) {
+std::string ControllerHint(const CellRow& cell, const ControlTables& tables) {
   const LeaseRecord& record = cell.m_lease.m_record;
   return record.m_released || record.m_holder == tables.m_self
              ? ""
@@ -52,43 +52,44 @@
         m_id(id),
         m_cell(cell) {}
 
-  void TakeIn(const SyncAsked& asked) {
-    const SyncRequest& request = asked.m_request;
-    bool known = true;
-    const DispatcherId id = FindOrAdd(m_tables, m_id, request, known);
+  void ApplyReport(const ReceivedSyncRequest& received) {
+    const SyncRequest& request = received.m_request;
+    bool was_known = true;
+    const DispatcherId id =
+        FindOrAddDispatcher(m_tables, m_id, request, was_known);
     DispatcherRow& row = m_tables.m_dispatchers.Get(id);
     row.m_data_centre = request.m_data_centre;
-    row.m_last_sync = std::max(row.m_last_sync, asked.m_received);
-    row.m_leaving = row.m_leaving || request.m_leaving;
-    if (!known) {
-      row.m_last_acknowledged = m_now;
+    row.m_last_sync_at = std::max(row.m_last_sync_at, received.m_received_at);
+    row.m_shutting_down = row.m_shutting_down || request.m_leaving;
+    if (!was_known) {
+      row.m_last_acknowledged_at = m_now;
     }
     if (request.m_control_epoch == m_cell.m_lease.m_record.m_epoch) {
       Acknowledge(row, request);
     }
     row.m_config_version = request.m_config_version;
-    AdoptClaims(id, request);
-    NoteLoads(row, asked);
-    NoteServers(request);
+    AdoptHeldServers(id, request);
+    RecordLoads(row, received);
+    RecordServers(request);
     // After a lapse another dispatcher may have seen ids that the memories of
     // this one lack.
-    if (known) {
-      NoteMemories(request);
+    if (was_known) {
+      StoreDedupStates(request);
     }
-    Park(id, asked);
+    QueueSync(id, received);
   }
 
   void Advance() {
-    CountServers();
-    DropLapsed();
-    ReleaseServers();
-    CountServers();
-    if (m_now < m_cell.m_taken_over_at + kGatherTime) {
+    CountServersPerDispatcher();
+    ExpireLeases();
+    FinishReleases();
+    CountServersPerDispatcher();
+    if (m_now < m_cell.m_taken_over_at + kReportGracePeriod) {
       return;
     }
-    ReplaceLeaving();
-    Appoint();
-    Balance();
+    ReplaceUnavailable();
+    AppointDispatchers();
+    BalanceServers();
   }
 
  private:
@@ -99,7 +100,7 @@
       return;
     }
     if (!same_epoch || request.m_applied_number > row.m_applied_number) {
-      row.m_last_acknowledged = m_now;
+      row.m_last_acknowledged_at = m_now;
     }
     row.m_control_epoch = request.m_control_epoch;
     row.m_routes_version = request.m_routes_version;
@@ -113,37 +114,37 @@
   }
 
   // After a takeover the dispatchers tell what they hold and keep it.
-  void AdoptClaims(DispatcherId id, const SyncRequest& request) {
+  void AdoptHeldServers(DispatcherId id, const SyncRequest& request) {
     for (const std::string& name : request.m_held_servers) {
       const auto found = m_cell.m_servers.find(name);
       if (found == m_cell.m_servers.end()) {
         continue;
       }
       BackendServerRow& server = m_tables.m_servers.Get(found->second);
-      if (!server.m_dispatcher.IsValid() && m_now < server.m_send_bound) {
+      if (!server.m_dispatcher.IsValid() && m_now < server.m_may_send_until) {
         server.m_dispatcher = id;
-        server.m_dispatcher_leaving = false;
-        server.m_lease_bound = server.m_send_bound;
-        m_cell.m_changed = true;
+        server.m_dispatcher_releasing = false;
+        server.m_dispatch_lease_until = server.m_may_send_until;
+        m_cell.m_routes_dirty = true;
       }
     }
   }
 
   // Partitions that are not among the busiest reported count as idle.
-  void NoteLoads(DispatcherRow& row, const SyncAsked& asked) {
-    const Duration elapsed = asked.m_received - row.m_last_load;
-    const bool first = row.m_last_load == TimePoint();
-    row.m_last_load = asked.m_received;
-    if (first || elapsed <= Duration::zero()) {
+  void RecordLoads(DispatcherRow& row, const ReceivedSyncRequest& received) {
+    const Duration elapsed = received.m_received_at - row.m_last_load_at;
+    const bool is_first = row.m_last_load_at == TimePoint();
+    row.m_last_load_at = received.m_received_at;
+    if (is_first || elapsed <= Duration::zero()) {
       return;
     }
     std::map<PartitionNumber, double> rates;
-    for (const PartitionLoad& load : asked.m_request.m_loads) {
+    for (const PartitionLoad& load : received.m_request.m_loads) {
       rates[load.m_number] = load.m_requests / ToSeconds(elapsed);
     }
     const double weight =
-        1 - std::exp(-ToSeconds(elapsed) / ToSeconds(kLoadMemory));
-    for (const std::string& name : asked.m_request.m_held_servers) {
+        1 - std::exp(-ToSeconds(elapsed) / ToSeconds(kLoadAveragingTime));
+    for (const std::string& name : received.m_request.m_held_servers) {
       const auto server = m_cell.m_servers.find(name);
       for (const auto& [number, id] : m_cell.m_partitions) {
         PartitionRow& partition = m_tables.m_partitions.Get(id);
@@ -155,128 +156,131 @@
     }
   }
 
-  void NoteServers(const SyncRequest& request) {
-    for (const ServerObservation& seen : request.m_observations) {
-      const auto found = m_cell.m_servers.find(seen.m_server);
+  void RecordServers(const SyncRequest& request) {
+    for (const ServerObservation& observation : request.m_observations) {
+      const auto found = m_cell.m_servers.find(observation.m_server);
       if (found == m_cell.m_servers.end()) {
         continue;
       }
       BackendServerRow& server = m_tables.m_servers.Get(found->second);
-      server.m_in_flight = seen.m_in_flight;
-      server.m_queued = seen.m_queued;
-      if (seen.m_lost > 0) {
-        server.m_next_probe = m_now;
+      server.m_in_flight = observation.m_in_flight;
+      server.m_queued = observation.m_queued;
+      if (observation.m_lost > 0) {
+        server.m_next_probe_at = m_now;
       }
     }
   }
 
-  void NoteMemories(const SyncRequest& request) {
-    for (const PartitionMemory& memory : request.m_memories) {
-      ForgetMemory(memory.m_number);
-      m_tables.m_memories.Insert(
-          {m_id, memory, m_now + m_tables.m_settings.m_retention});
+  void StoreDedupStates(const SyncRequest& request) {
+    for (const PartitionMemory& dedup_state : request.m_memories) {
+      EraseDedupState(dedup_state.m_number);
+      m_tables.m_dedup_states.Insert(
+          {m_id, dedup_state, m_now + m_tables.m_settings.m_retention});
     }
   }
 
-  void ForgetMemory(PartitionNumber number) {
-    m_tables.m_memories.ForEach([&](auto id, const MemoryRow& row) {
-      if (row.m_cell == m_id && row.m_memory.m_number == number) {
-        m_tables.m_memories.Erase(id);
+  void EraseDedupState(PartitionNumber number) {
+    m_tables.m_dedup_states.ForEach([&](auto id, const DedupStateRow& row) {
+      if (row.m_cell == m_id && row.m_dedup_state.m_number == number) {
+        m_tables.m_dedup_states.Erase(id);
       }
     });
   }
 
-  void Park(DispatcherId id, const SyncAsked& asked) {
+  void QueueSync(DispatcherId id, const ReceivedSyncRequest& received) {
     // A newer request of the same dispatcher releases the older ones.
-    for (ParkedSync& parked : m_cell.m_parked) {
-      if (parked.m_dispatcher == id) {
-        parked.m_answer_now = true;
+    for (PendingSync& pending : m_cell.m_pending_syncs) {
+      if (pending.m_dispatcher == id) {
+        pending.m_superseded = true;
       }
     }
-    ParkedSync parked;
-    parked.m_handle = asked.m_handle;
-    parked.m_dispatcher = id;
-    parked.m_received = asked.m_received;
-    parked.m_answer_by = asked.m_received + m_tables.m_settings.m_sync_hold;
-    parked.m_routes_epoch = asked.m_request.m_control_epoch;
-    parked.m_routes_version = asked.m_request.m_routes_version;
-    parked.m_access_version = asked.m_request.m_config_version;
-    m_cell.m_parked.push_back(parked);
+    PendingSync pending;
+    pending.m_handle = received.m_handle;
+    pending.m_dispatcher = id;
+    pending.m_received_at = received.m_received_at;
+    pending.m_respond_at =
+        received.m_received_at + m_tables.m_settings.m_sync_poll_timeout;
+    pending.m_routes_epoch = received.m_request.m_control_epoch;
+    pending.m_routes_version = received.m_request.m_routes_version;
+    pending.m_access_version = received.m_request.m_config_version;
+    m_cell.m_pending_syncs.push_back(pending);
   }
 
-  void DropLapsed() {
+  void ExpireLeases() {
     for (const auto& [name, server_id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(server_id);
-      if (server.m_dispatcher.IsValid() && m_now > server.m_lease_bound &&
-          server.m_lease_bound != TimePoint()) {
-        Lapse(name, server_id, server);
+      if (server.m_dispatcher.IsValid() &&
+          m_now > server.m_dispatch_lease_until &&
+          server.m_dispatch_lease_until != TimePoint()) {
+        ExpireLease(name, server_id, server);
       }
     }
     m_tables.m_dispatchers.ForEach(
         [&](DispatcherId id, const DispatcherRow& row) {
-          const bool parked = std::ranges::any_of(
-              m_cell.m_parked,
+          const bool has_pending_sync = std::ranges::any_of(
+              m_cell.m_pending_syncs,
               [&](const auto& sync) { return sync.m_dispatcher == id; });
-          if (row.m_cell == m_id && !parked && CountOf(id) == 0 &&
-              m_now > row.m_last_sync + kForgetAfter) {
+          if (row.m_cell == m_id && !has_pending_sync && ServerCount(id) == 0 &&
+              m_now > row.m_last_sync_at + kDispatcherRetention) {
             m_tables.m_dispatchers.Erase(id);
           }
         });
   }
 
-  void Lapse(const std::string& name,
-             BackendServerId server_id,
-             BackendServerRow& server) {
+  void ExpireLease(const std::string& name,
+                   BackendServerId server_id,
+                   BackendServerRow& server) {
     if (const DispatcherRow* row =
             m_tables.m_dispatchers.Find(server.m_dispatcher)) {
-      Note(EventNumber::kDispatcherLapsed, name, *row);
+      LogDispatcherEvent(EventNumber::kDispatcherLapsed, name, *row);
     }
     server.m_dispatcher = {};
-    server.m_dispatcher_leaving = false;
-    server.m_send_bound = server.m_lease_bound;
-    server.m_run_bound = server.m_lease_bound +
-                         m_cell.m_service.m_max_deadline +
-                         m_tables.m_settings.m_wall_skew;
-    m_cell.m_changed = true;
-    ForgetMemoriesOf(server_id);
+    server.m_dispatcher_releasing = false;
+    server.m_may_send_until = server.m_dispatch_lease_until;
+    server.m_may_run_until = server.m_dispatch_lease_until +
+                             m_cell.m_service.m_max_deadline +
+                             m_tables.m_settings.m_wall_skew;
+    m_cell.m_routes_dirty = true;
+    EraseDedupStatesOf(server_id);
   }
 
   // The lapsed dispatcher may have seen request ids that nobody else knows.
-  void ForgetMemoriesOf(BackendServerId server_id) {
+  void EraseDedupStatesOf(BackendServerId server_id) {
     for (const auto& [number, partition_id] : m_cell.m_partitions) {
       const PartitionRow& partition = m_tables.m_partitions.Get(partition_id);
-      if (partition.m_owner == server_id || partition.m_previous == server_id) {
-        ForgetMemory(number);
+      if (partition.m_owner == server_id ||
+          partition.m_previous_owner == server_id) {
+        EraseDedupState(number);
       }
     }
   }
 
-  void ReleaseServers() {
+  void FinishReleases() {
     for (const auto& [name, server_id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(server_id);
       const DispatcherRow* row =
           m_tables.m_dispatchers.Find(server.m_dispatcher);
-      if (!row || !server.m_dispatcher_leaving ||
-          server.m_dispatcher_dropped_at == 0) {
+      if (!row || !server.m_dispatcher_releasing ||
+          server.m_dispatcher_removed_in_response == 0) {
         continue;
       }
-      const bool let_go =
+      const bool released =
           row->m_control_epoch == m_cell.m_lease.m_record.m_epoch &&
-          row->m_applied_number >= server.m_dispatcher_dropped_at &&
+          row->m_applied_number >= server.m_dispatcher_removed_in_response &&
           !row->m_draining_servers.contains(name);
-      if (let_go) {
+      if (released) {
         server.m_dispatcher = {};
-        server.m_dispatcher_leaving = false;
-        m_cell.m_changed = true;
+        server.m_dispatcher_releasing = false;
+        m_cell.m_routes_dirty = true;
       }
     }
   }
 
   bool IsLive(const DispatcherRow& row) const {
-    const Duration patience = m_tables.m_settings.m_sync_patience;
-    return row.m_cell == m_id && !row.m_leaving &&
-           m_now - row.m_last_sync <= patience &&
-           m_now - row.m_last_acknowledged <= patience;
+    const Duration timeout = m_tables.m_settings.m_dispatcher_silence_timeout;
+    return row.m_cell == m_id && !row.m_shutting_down &&
+           m_now - row.m_last_sync_at <= timeout &&
+           m_now - row.m_last_acknowledged_at <= timeout;
   }
 
   bool IsInServingDataCentre(const DispatcherRow& row) const {
@@ -287,25 +291,25 @@
   }
 
   // Servers per dispatcher; counted once a tick and kept up with changes.
-  void CountServers() {
-    m_counts.clear();
+  void CountServersPerDispatcher() {
+    m_server_counts.clear();
     for (const auto& [name, id] : m_cell.m_servers) {
       const BackendServerRow& server = m_tables.m_servers.Get(id);
       if (!server.m_removed && server.m_dispatcher.IsValid()) {
-        ++m_counts[server.m_dispatcher];
+        ++m_server_counts[server.m_dispatcher];
       }
     }
   }
 
-  size_t CountOf(DispatcherId id) const {
-    const auto found = m_counts.find(id);
-    return found == m_counts.end() ? 0 : found->second;
+  size_t ServerCount(DispatcherId id) const {
+    const auto found = m_server_counts.find(id);
+    return found == m_server_counts.end() ? 0 : found->second;
   }
 
   // Prefers a dispatcher in a serving data centre, then in that of the server,
   // then the one with the fewest servers.
   using Cost = std::tuple<bool, bool, size_t>;
-  DispatcherId Choose(const BackendServerRow& server) const {
+  DispatcherId ChooseDispatcher(const BackendServerRow& server) const {
     DispatcherId best;
     Cost best_cost;
     m_tables.m_dispatchers.ForEach(
@@ -315,7 +319,7 @@
           }
           const Cost cost = {!IsInServingDataCentre(row),
                              row.m_data_centre != server.m_config.m_data_centre,
-                             CountOf(id)};
+                             ServerCount(id)};
           if (!best.IsValid() || cost < best_cost) {
             best = id;
             best_cost = cost;
@@ -324,30 +328,30 @@
     return best;
   }
 
-  void Appoint() {
+  void AppointDispatchers() {
     for (const auto& [name, server_id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(server_id);
       if (server.m_dispatcher.IsValid() || server.m_removed ||
-          m_now < server.m_send_bound) {
+          m_now < server.m_may_send_until) {
         continue;
       }
-      const DispatcherId chosen = Choose(server);
+      const DispatcherId chosen = ChooseDispatcher(server);
       if (!chosen.IsValid()) {
         continue;
       }
       server.m_dispatcher = chosen;
-      ++m_counts[chosen];
-      server.m_dispatcher_leaving = false;
-      server.m_dispatcher_dropped_at = 0;
+      ++m_server_counts[chosen];
+      server.m_dispatcher_releasing = false;
+      server.m_dispatcher_removed_in_response = 0;
       // Counts from the answer that first tells the dispatcher.
-      server.m_lease_bound = TimePoint();
-      m_cell.m_changed = true;
-      Note(EventNumber::kDispatcherAppointed, name,
-           m_tables.m_dispatchers.Get(chosen));
+      server.m_dispatch_lease_until = TimePoint();
+      m_cell.m_routes_dirty = true;
+      LogDispatcherEvent(EventNumber::kDispatcherAppointed, name,
+                         m_tables.m_dispatchers.Get(chosen));
     }
   }
 
-  void ReplaceLeaving() {
+  void ReplaceUnavailable() {
     for (const auto& [name, server_id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(server_id);
       const DispatcherRow* row =
@@ -355,7 +359,7 @@
       if (!row || (IsLive(*row) && IsInServingDataCentre(*row))) {
         continue;
       }
-      const DispatcherId better = Choose(server);
+      const DispatcherId better = ChooseDispatcher(server);
       if (better.IsValid() && better != server.m_dispatcher) {
         BeginReplacement(server);
       }
@@ -363,19 +367,19 @@
   }
 
   void BeginReplacement(BackendServerRow& server) {
-    if (server.m_dispatcher_leaving) {
+    if (server.m_dispatcher_releasing) {
       return;
     }
-    server.m_dispatcher_leaving = true;
+    server.m_dispatcher_releasing = true;
     // The next response no longer lists the server.
-    server.m_dispatcher_dropped_at = m_cell.m_response_number + 1;
-    m_cell.m_changed = true;
+    server.m_dispatcher_removed_in_response = m_cell.m_last_response_number + 1;
+    m_cell.m_routes_dirty = true;
   }
 
   // Moves one server a tick from a dispatcher with two more than another.
-  void Balance() {
+  void BalanceServers() {
     for (const auto& [name, server_id] : m_cell.m_servers) {
-      if (m_tables.m_servers.Get(server_id).m_dispatcher_leaving) {
+      if (m_tables.m_servers.Get(server_id).m_dispatcher_releasing) {
         return;
       }
     }
@@ -386,30 +390,32 @@
       if (!row || server.m_removed) {
         continue;
       }
-      const DispatcherId better = Choose(server);
+      const DispatcherId better = ChooseDispatcher(server);
       if (!better.IsValid() || better == server.m_dispatcher) {
         continue;
       }
-      const std::string& zone = server.m_config.m_data_centre;
-      const bool near = row->m_data_centre == zone;
-      const bool better_near =
-          m_tables.m_dispatchers.Get(better).m_data_centre == zone;
-      const bool fewer = CountOf(better) + 2 <= CountOf(server.m_dispatcher);
-      if ((better_near && !near) || (better_near == near && fewer)) {
+      const std::string& data_centre = server.m_config.m_data_centre;
+      const bool is_near = row->m_data_centre == data_centre;
+      const bool better_is_near =
+          m_tables.m_dispatchers.Get(better).m_data_centre == data_centre;
+      const bool better_has_fewer =
+          ServerCount(better) + 2 <= ServerCount(server.m_dispatcher);
+      if ((better_is_near && !is_near) ||
+          (better_is_near == is_near && better_has_fewer)) {
         BeginReplacement(server);
         return;
       }
     }
   }
 
-  void Note(EventNumber number,
-            const std::string& server,
-            const DispatcherRow& row) {
+  void LogDispatcherEvent(EventNumber number,
+                          const std::string& server,
+                          const DispatcherRow& row) {
     m_context.m_outbox.m_events.push_back(
         {number,
          {{"cell", m_cell.m_name},
           {"server", server},
-          {"dispatcher", row.m_name.m_address}}});
+          {"dispatcher", row.m_identity.m_address}}});
   }
 
   ControlContext& m_context;
@@ -417,16 +423,17 @@
   TimePoint m_now;
   CellId m_id;
   CellRow& m_cell;
-  std::map<DispatcherId, size_t> m_counts;
+  std::map<DispatcherId, size_t> m_server_counts;
 };
 
-void Refuse(ControlContext& context,
-            const SyncAsked& asked,
-            const std::string& hint) {
+void RejectSync(ControlContext& context,
+                const ReceivedSyncRequest& received,
+                const std::string& hint) {
   SyncResponse response;
   response.m_status = SyncStatus::kNotController;
   response.m_controller = hint;
-  context.m_outbox.m_syncs.push_back({asked.m_handle, std::move(response)});
+  context.m_outbox.m_sync_responses.push_back(
+      {received.m_handle, std::move(response)});
 }
 
 }  // namespace
@@ -434,14 +441,14 @@
 void DispatcherSystem::Run(ControlContext& context) {
   ControlTables& tables = context.m_tables;
   const TimePoint now = context.m_now.m_steady;
-  for (const SyncAsked& asked : context.m_inbox.m_syncs) {
-    const CellId id = FindCell(tables, asked.m_request.m_cell);
+  for (const ReceivedSyncRequest& received : context.m_inbox.m_sync_requests) {
+    const CellId id = FindCell(tables, received.m_request.m_cell);
     CellRow* cell = tables.m_cells.Find(id);
     if (!cell || !CanDecide(*cell, now) || !ConfigIsFresh(tables, *cell)) {
-      Refuse(context, asked, cell ? HolderHint(*cell, tables) : "");
+      RejectSync(context, received, cell ? ControllerHint(*cell, tables) : "");
       continue;
     }
-    CellDispatchers(context, id, *cell).TakeIn(asked);
+    CellDispatchers(context, id, *cell).ApplyReport(received);
   }
   tables.m_cells.ForEach([&](CellId id, CellRow& cell) {
     if (CanDecide(cell, now)) {
--- a/src/control/handover_system.cc
+++ b/src/control/handover_system.cc
@@ -23,32 +23,32 @@
   void Advance() {
     using Step = void (PartitionHandover::*)();
     constexpr std::array<Step, 5> kSteps = {
-        &PartitionHandover::Nothing, &PartitionHandover::Nothing,
-        &PartitionHandover::Release, &PartitionHandover::Revoke,
+        &PartitionHandover::DoNothing, &PartitionHandover::DoNothing,
+        &PartitionHandover::Release,   &PartitionHandover::Revoke,
         &PartitionHandover::Grant,
     };
     (this->*kSteps[static_cast<size_t>(m_partition.m_phase)])();
   }
 
  private:
-  void Nothing() {}
+  void DoNothing() {}
 
   bool ChecksFence() const { return m_cell.m_service.m_checks_fence; }
 
   void Release() {
-    if (BlockersRemain() || !DispatcherLetGo()) {
+    if (BlockersRemain() || !DispatcherReleased()) {
       return;
     }
     m_partition.m_blockers.clear();
     m_partition.m_phase = MovePhase::kRevoking;
-    NoteGrantDue(m_partition.m_previous);
+    MarkGrantDue(m_partition.m_previous_owner);
     Revoke();
   }
 
   bool BlockersRemain() const {
     return std::ranges::any_of(m_partition.m_blockers, [&](PartitionId id) {
       const PartitionRow* blocker = m_tables.m_partitions.Find(id);
-      return blocker && blocker->m_phase != MovePhase::kSettled &&
+      return blocker && blocker->m_phase != MovePhase::kStable &&
              blocker->m_phase != MovePhase::kGranting;
     });
   }
@@ -56,9 +56,9 @@
   // The previous owner's dispatcher acts on routes without the partition and
   // has nothing in flight for it; or every dispatcher that might not know has
   // lost its lease, and with it the requests it may have sent.
-  bool DispatcherLetGo() const {
+  bool DispatcherReleased() const {
     const BackendServerRow* server =
-        m_tables.m_servers.Find(m_partition.m_previous);
+        m_tables.m_servers.Find(m_partition.m_previous_owner);
     if (!server) {
       return true;
     }
@@ -67,31 +67,32 @@
     if (dispatcher) {
       const bool acknowledged =
           dispatcher->m_control_epoch == m_cell.m_lease.m_record.m_epoch &&
-          dispatcher->m_routes_version >= m_partition.m_dropped_at &&
+          dispatcher->m_routes_version >=
+              m_partition.m_paused_in_routes_version &&
           !dispatcher->m_draining.contains(m_partition.m_number);
       if (!acknowledged) {
         return false;
       }
-    } else if (m_now < server->m_send_bound) {
+    } else if (m_now < server->m_may_send_until) {
       return false;
     }
-    return ChecksFence() || m_now >= server->m_run_bound;
+    return ChecksFence() || m_now >= server->m_may_run_until;
   }
 
   void Revoke() {
     const BackendServerRow* server =
-        m_tables.m_servers.Find(m_partition.m_previous);
-    const bool ended =
-        !server || !ChecksFence() || m_now >= server->m_grant_bound ||
-        (server->m_grants_known &&
-         !server->m_maybe_granted.contains(m_partition.m_number));
-    if (!ended) {
+        m_tables.m_servers.Find(m_partition.m_previous_owner);
+    const bool grant_ended =
+        !server || !ChecksFence() || m_now >= server->m_grants_valid_until ||
+        (server->m_possible_grants_known &&
+         !server->m_possible_grants.contains(m_partition.m_number));
+    if (!grant_ended) {
       return;
     }
     if (!server && m_partition.m_epoch == 1) {
-      NoteFirstOwner();
+      AddEmptyDedupState();
     }
-    m_partition.m_previous = {};
+    m_partition.m_previous_owner = {};
     m_cell.m_assignment.m_dirty = true;
     if (m_partition.m_retiring) {
       m_cell.m_partitions.erase(m_partition.m_number);
@@ -99,7 +100,7 @@
       return;
     }
     m_partition.m_phase = MovePhase::kGranting;
-    NoteGrantDue(m_partition.m_owner);
+    MarkGrantDue(m_partition.m_owner);
     Grant();
   }
 
@@ -110,34 +111,36 @@
       return;
     }
     if (ChecksFence()) {
-      const auto granted = server->m_granted.find(m_partition.m_number);
-      if (granted == server->m_granted.end() ||
+      const auto granted =
+          server->m_confirmed_grants.find(m_partition.m_number);
+      if (granted == server->m_confirmed_grants.end() ||
           granted->second != m_partition.m_epoch) {
         return;
       }
     }
-    m_partition.m_phase = MovePhase::kSettled;
-    m_partition.m_settled_at = m_now;
-    m_cell.m_changed = true;
-    const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(
-        m_now - m_partition.m_move_started);
-    m_context.m_outbox.m_events.push_back({EventNumber::kPartitionMoveFinished,
-                                           {{"cell", m_cell.m_name},
-                                            {"partition", m_partition.m_number},
-                                            {"server", server->m_config.m_name},
-                                            {"epoch", m_partition.m_epoch},
-                                            {"milliseconds", took.count()}}});
+    m_partition.m_phase = MovePhase::kStable;
+    m_partition.m_stable_since = m_now;
+    m_cell.m_routes_dirty = true;
+    const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(
+        m_now - m_partition.m_move_started_at);
+    m_context.m_outbox.m_events.push_back(
+        {EventNumber::kPartitionMoveFinished,
+         {{"cell", m_cell.m_name},
+          {"partition", m_partition.m_number},
+          {"server", server->m_config.m_name},
+          {"epoch", m_partition.m_epoch},
+          {"milliseconds", elapsed.count()}}});
   }
 
   // A partition that never had an owner has no request ids to be unsure of.
-  void NoteFirstOwner() {
-    PartitionMemory memory;
-    memory.m_number = m_partition.m_number;
-    m_tables.m_memories.Insert(
-        {m_partition.m_cell, memory, m_now + m_tables.m_settings.m_retention});
+  void AddEmptyDedupState() {
+    PartitionMemory dedup_state;
+    dedup_state.m_number = m_partition.m_number;
+    m_tables.m_dedup_states.Insert({m_partition.m_cell, dedup_state,
+                                    m_now + m_tables.m_settings.m_retention});
   }
 
-  void NoteGrantDue(BackendServerId id) {
+  void MarkGrantDue(BackendServerId id) {
     if (BackendServerRow* server = m_tables.m_servers.Find(id)) {
       server->m_grant_due = true;
     }
@@ -162,13 +165,14 @@
         std::ranges::any_of(cell.m_partitions, [&](const auto& partition) {
           const PartitionRow& row = tables.m_partitions.Get(partition.second);
           return row.m_owner == entry.second ||
-                 row.m_previous == entry.second || row.m_target == entry.second;
+                 row.m_previous_owner == entry.second ||
+                 row.m_target == entry.second;
         });
-    if (used || server.m_probe_busy || server.m_grant_busy) {
+    if (used || server.m_probe_in_flight || server.m_grant_in_flight) {
       return false;
     }
     tables.m_servers.Erase(entry.second);
-    cell.m_changed = true;
+    cell.m_routes_dirty = true;
     return true;
   });
 }
--- a/src/control/partition_moves.cc
+++ b/src/control/partition_moves.cc
@@ -28,31 +28,34 @@
 
 // Nothing is known of what an earlier controller's dispatchers and grants still
 // allow, except when it ends.
-void ForgetRights(ControlTables& tables, CellRow& cell, TimePoint now) {
+void ResetRights(ControlTables& tables, CellRow& cell, TimePoint now) {
   const ControlSettings& settings = tables.m_settings;
-  const Duration lease = WithDrift(settings, settings.m_dispatch_excess);
-  const TimePoint end = cell.m_predecessor_end;
-  const Duration grant = WithDrift(settings, settings.m_grant);
+  const Duration lease_overrun =
+      AddClockDrift(settings, settings.m_max_dispatch_lease_overrun);
+  const TimePoint predecessor_end = cell.m_predecessor_active_until;
+  const Duration grant_ttl = AddClockDrift(settings, settings.m_grant_ttl);
   for (const auto& [name, id] : cell.m_servers) {
     BackendServerRow& server = tables.m_servers.Get(id);
     server.m_dispatcher = {};
-    server.m_dispatcher_leaving = false;
-    server.m_send_bound = end + lease;
-    server.m_run_bound =
-        now + lease + cell.m_service.m_max_deadline + settings.m_wall_skew;
-    server.m_grants_known = false;
-    server.m_granted.clear();
-    server.m_maybe_granted.clear();
-    server.m_granting.clear();
-    server.m_grant_busy = false;
+    server.m_dispatcher_releasing = false;
+    server.m_may_send_until = predecessor_end + lease_overrun;
+    server.m_may_run_until = now + lease_overrun +
+                             cell.m_service.m_max_deadline +
+                             settings.m_wall_skew;
+    server.m_possible_grants_known = false;
+    server.m_confirmed_grants.clear();
+    server.m_possible_grants.clear();
+    server.m_pending_grants.clear();
+    server.m_grant_in_flight = false;
     server.m_grant_due = true;
-    server.m_next_grant = now;
-    server.m_grant_bound = end + grant + 2 * settings.m_wall_skew;
+    server.m_next_grant_at = now;
+    server.m_grants_valid_until =
+        predecessor_end + grant_ttl + 2 * settings.m_wall_skew;
   }
 }
 
 template <typename Row>
-void EraseOfCell(Table<Row>& table, CellId cell_id) {
+void EraseRowsOfCell(Table<Row>& table, CellId cell_id) {
   table.ForEach([&](auto id, const Row& row) {
     if (row.m_cell == cell_id) {
       table.Erase(id);
@@ -120,30 +123,30 @@
 }  // namespace
 
 bool MayStartMove(const PartitionRow& partition) {
-  return !partition.m_retiring && (partition.m_phase == MovePhase::kSettled ||
+  return !partition.m_retiring && (partition.m_phase == MovePhase::kStable ||
                                    partition.m_phase == MovePhase::kGranting);
 }
 
-bool IsHeld(const PartitionRow& partition) {
+bool IsPaused(const PartitionRow& partition) {
   if (partition.m_phase == MovePhase::kRecording) {
     return !partition.m_blockers.empty();
   }
-  return partition.m_phase != MovePhase::kSettled;
+  return partition.m_phase != MovePhase::kStable;
 }
 
 void StartMove(PartitionRow& partition, BackendServerId target, TimePoint now) {
   partition.m_phase = MovePhase::kRecording;
   partition.m_target = target;
-  partition.m_move_started = now;
+  partition.m_move_started_at = now;
 }
 
 void LoadPartitions(ControlTables& tables,
                     CellId cell_id,
                     CellRow& cell,
                     TimePoint now) {
-  EraseOfCell(tables.m_partitions, cell_id);
-  EraseOfCell(tables.m_dispatchers, cell_id);
-  EraseOfCell(tables.m_memories, cell_id);
+  EraseRowsOfCell(tables.m_partitions, cell_id);
+  EraseRowsOfCell(tables.m_dispatchers, cell_id);
+  EraseRowsOfCell(tables.m_dedup_states, cell_id);
   cell.m_partitions.clear();
   for (const PartitionOwner& owner : cell.m_assignment.m_record.m_owners) {
     PartitionRow row;
@@ -151,30 +154,31 @@
     row.m_number = owner.m_number;
     row.m_owner = FindOrAddServer(tables, cell_id, cell, owner.m_server);
     row.m_epoch = owner.m_epoch;
-    row.m_previous = FindOrAddServer(tables, cell_id, cell, owner.m_previous);
+    row.m_previous_owner =
+        FindOrAddServer(tables, cell_id, cell, owner.m_previous);
     row.m_retiring = owner.m_server.empty();
-    row.m_previous_recorded = !owner.m_previous.empty();
-    row.m_move_started = now;
-    row.m_dropped_at = 1;
-    row.m_phase =
-        row.m_previous_recorded ? MovePhase::kReleasing : MovePhase::kGranting;
+    row.m_previous_owner_recorded = !owner.m_previous.empty();
+    row.m_move_started_at = now;
+    row.m_paused_in_routes_version = 1;
+    row.m_phase = row.m_previous_owner_recorded ? MovePhase::kReleasing
+                                                : MovePhase::kGranting;
     cell.m_partitions[row.m_number] = tables.m_partitions.Insert(row);
   }
   for (const auto& [number, id] : cell.m_partitions) {
     PartitionRow& row = tables.m_partitions.Get(id);
     // A settled owner goes on; its grant is renewed under the new epoch.
     if (row.m_phase == MovePhase::kGranting && row.m_owner.IsValid()) {
-      row.m_phase = MovePhase::kSettled;
+      row.m_phase = MovePhase::kStable;
     }
   }
-  ForgetRights(tables, cell, now);
-  cell.m_changed = true;
+  ResetRights(tables, cell, now);
+  cell.m_routes_dirty = true;
 }
 
-void AlignPartitions(ControlTables& tables,
-                     CellId cell_id,
-                     CellRow& cell,
-                     TimePoint now) {
+void ReconcilePartitions(ControlTables& tables,
+                         CellId cell_id,
+                         CellRow& cell,
+                         TimePoint now) {
   const auto wanted = WantedPartitions(cell.m_service);
   const bool first = cell.m_partitions.empty();
   for (const auto& [number, pinned_to] : wanted) {
@@ -199,9 +203,9 @@
   cell.m_routed_service = cell.m_service;
 }
 
-size_t ApplyRecord(ControlTables& tables,
-                   CellRow& cell,
-                   const AssignmentRecord& record) {
+size_t ApplyAssignment(ControlTables& tables,
+                       CellRow& cell,
+                       const AssignmentRecord& record) {
   size_t moves = 0;
   for (const PartitionOwner& owner : record.m_owners) {
     const auto found = cell.m_partitions.find(owner.m_number);
@@ -209,19 +213,19 @@
       continue;
     }
     PartitionRow& row = tables.m_partitions.Get(found->second);
-    row.m_previous_recorded = !owner.m_previous.empty();
+    row.m_previous_owner_recorded = !owner.m_previous.empty();
     if (owner.m_epoch <= row.m_epoch) {
       continue;
     }
     const auto server = cell.m_servers.find(owner.m_server);
-    row.m_previous = row.m_owner;
+    row.m_previous_owner = row.m_owner;
     row.m_owner =
         server == cell.m_servers.end() ? BackendServerId() : server->second;
     row.m_epoch = owner.m_epoch;
     row.m_target = {};
     row.m_phase = MovePhase::kReleasing;
-    row.m_dropped_at = cell.m_routes_version + 1;
-    cell.m_changed = true;
+    row.m_paused_in_routes_version = cell.m_routes_version + 1;
+    cell.m_routes_dirty = true;
     ++moves;
   }
   return moves;
--- a/src/control/partition_moves.h
+++ b/src/control/partition_moves.h
@@ -13,16 +13,16 @@
 
 /// Adds rows for partitions that the configuration has and the cell lacks, and
 /// starts to retire pinned keys that it no longer has.
-void AlignPartitions(ControlTables& tables,
-                     CellId cell_id,
-                     CellRow& cell,
-                     TimePoint now);
+void ReconcilePartitions(ControlTables& tables,
+                         CellId cell_id,
+                         CellRow& cell,
+                         TimePoint now);
 
 /// Brings the rows into line with a record that the platform holds; returns how
 /// many partitions changed owner.
-size_t ApplyRecord(ControlTables& tables,
-                   CellRow& cell,
-                   const AssignmentRecord& record);
+size_t ApplyAssignment(ControlTables& tables,
+                       CellRow& cell,
+                       const AssignmentRecord& record);
 
 /// Starts to move a settled partition; the next record will name the target.
 void StartMove(PartitionRow& partition, BackendServerId target, TimePoint now);
@@ -31,6 +31,6 @@
 bool MayStartMove(const PartitionRow& partition);
 
 /// Returns whether requests for the partition must wait.
-bool IsHeld(const PartitionRow& partition);
+bool IsPaused(const PartitionRow& partition);
 
 }  // namespace foxtail
--- a/src/control/placement_strategy.cc
+++ b/src/control/placement_strategy.cc
@@ -18,9 +18,9 @@
   return -static_cast<double>(candidate.m_slots) / std::log(uniform);
 }
 
-size_t BestOf(uint64_t partition_hash,
-              std::span<const PlacementCandidate> candidates,
-              const std::vector<bool>& allowed) {
+size_t BestCandidate(uint64_t partition_hash,
+                     std::span<const PlacementCandidate> candidates,
+                     const std::vector<bool>& allowed) {
   size_t best = candidates.size();
   double best_score = 0;
   for (size_t i = 0; i < candidates.size(); ++i) {
@@ -39,8 +39,8 @@
     uint64_t partition_hash,
     std::span<const PlacementCandidate> candidates) const {
   assert(!candidates.empty());
-  return BestOf(partition_hash, candidates,
-                std::vector<bool>(candidates.size(), true));
+  return BestCandidate(partition_hash, candidates,
+                       std::vector<bool>(candidates.size(), true));
 }
 
 BoundedLoadPlacement::BoundedLoadPlacement(double bound) : m_bound(bound) {
@@ -63,7 +63,7 @@
         std::ceil(m_bound * partitions * candidate.m_slots / slots);
     allowed.push_back(static_cast<double>(candidate.m_partitions) < limit);
   }
-  return BestOf(partition_hash, candidates, allowed);
+  return BestCandidate(partition_hash, candidates, allowed);
 }
 
 }  // namespace foxtail
--- a/src/control/placement_system.cc
+++ b/src/control/placement_system.cc
@@ -33,10 +33,10 @@
     for (const auto& [number, id] : m_cell.m_partitions) {
       PartitionRow& partition = m_tables.m_partitions.Get(id);
       if (MayStartMove(partition)) {
-        Consider(partition);
+        PlacePartition(partition);
       }
     }
-    if (m_now >= m_cell.m_next_rebalance) {
+    if (m_now >= m_cell.m_next_rebalance_at) {
       Rebalance();
     }
   }
@@ -44,7 +44,7 @@
  private:
   struct Receiver {
     BackendServerId m_id;
-    size_t m_arriving = 0;
+    size_t m_arriving_moves = 0;
   };
 
   bool IsEligible(const BackendServerRow& server) const {
@@ -57,7 +57,7 @@
       m_all_probed = m_all_probed && (server.m_probed || !server.m_serving);
       if (IsEligible(server)) {
         m_candidates.push_back({name, server.m_config.m_slots, 0, 0});
-        m_index.emplace(id, m_receivers.size());
+        m_receiver_index.emplace(id, m_receivers.size());
         m_receivers.push_back({id, 0});
       }
     }
@@ -69,23 +69,23 @@
       if (index) {
         ++m_candidates[*index].m_partitions;
         m_candidates[*index].m_load += partition.m_load;
-        m_receivers[*index].m_arriving +=
-            partition.m_phase != MovePhase::kSettled;
+        m_receivers[*index].m_arriving_moves +=
+            partition.m_phase != MovePhase::kStable;
       }
     }
   }
 
   std::optional<size_t> IndexOf(BackendServerId id) const {
-    const auto found = m_index.find(id);
-    if (found == m_index.end()) {
+    const auto found = m_receiver_index.find(id);
+    if (found == m_receiver_index.end()) {
       return std::nullopt;
     }
     return found->second;
   }
 
-  void Consider(PartitionRow& partition) {
+  void PlacePartition(PartitionRow& partition) {
     const auto owner = IndexOf(partition.m_owner);
-    if (!partition.m_pinned_to.empty() && ConsiderPin(partition, owner)) {
+    if (!partition.m_pinned_to.empty() && PlacePinned(partition, owner)) {
       return;
     }
     if (owner) {
@@ -96,11 +96,11 @@
     // A server that still answers hands over a few partitions at a time, so
     // that no receiver is overrun; a lost one hands over all at once.
     const bool planned = server && server->m_up;
-    if (planned && !MovesSmoothly(*server)) {
+    if (planned && !CanMoveWithoutDelay(*server)) {
       return;
     }
-    if (planned &&
-        m_receivers[target].m_arriving >= m_settings.m_moves_per_receiver) {
+    if (planned && m_receivers[target].m_arriving_moves >=
+                       m_settings.m_max_moves_per_receiver) {
       return;
     }
     Move(partition, target);
@@ -108,12 +108,12 @@
 
   // Requests of a lost dispatcher may still run at a server that checks no
   // fence; a planned move would hold its requests until they are over.
-  bool MovesSmoothly(const BackendServerRow& server) const {
-    return m_cell.m_service.m_checks_fence || m_now >= server.m_run_bound;
+  bool CanMoveWithoutDelay(const BackendServerRow& server) const {
+    return m_cell.m_service.m_checks_fence || m_now >= server.m_may_run_until;
   }
 
   // Returns whether the pin decides; not while its server takes no work.
-  bool ConsiderPin(PartitionRow& partition, std::optional<size_t> owner) {
+  bool PlacePinned(PartitionRow& partition, std::optional<size_t> owner) {
     const auto pinned = std::ranges::find(m_candidates, partition.m_pinned_to,
                                           &PlacementCandidate::m_server);
     if (pinned == m_candidates.end()) {
@@ -138,12 +138,13 @@
     }
     ++m_candidates[target].m_partitions;
     m_candidates[target].m_load += partition.m_load;
-    ++m_receivers[target].m_arriving;
-    Note(partition, m_candidates[target].m_server);
+    ++m_receivers[target].m_arriving_moves;
+    LogMoveStarted(partition, m_candidates[target].m_server);
     StartMove(partition, m_receivers[target].m_id, m_now);
   }
 
-  void Note(const PartitionRow& partition, const std::string& target) {
+  void LogMoveStarted(const PartitionRow& partition,
+                      const std::string& target) {
     const BackendServerRow* owner = m_tables.m_servers.Find(partition.m_owner);
     m_context.m_outbox.m_events.push_back(
         {EventNumber::kPartitionMoveStarted,
@@ -159,17 +160,17 @@
     const bool moving =
         std::ranges::any_of(m_cell.m_partitions, [&](const auto& entry) {
           return m_tables.m_partitions.Get(entry.second).m_phase !=
-                 MovePhase::kSettled;
+                 MovePhase::kStable;
         });
     if (moving || m_candidates.size() < 2) {
       return;
     }
     if (RebalanceByCount()) {
       // Counts settle fast: a returned server takes a few partitions a second.
-      m_cell.m_next_rebalance = m_now + m_settings.m_rebalance_period / 10;
+      m_cell.m_next_rebalance_at = m_now + m_settings.m_rebalance_period / 10;
       return;
     }
-    m_cell.m_next_rebalance = m_now + m_settings.m_rebalance_period;
+    m_cell.m_next_rebalance_at = m_now + m_settings.m_rebalance_period;
     RebalanceByLoad();
   }
 
@@ -184,7 +185,7 @@
 
   using Measure = double (CellPlacement::*)(size_t) const;
 
-  std::pair<size_t, size_t> Extremes(Measure measure) const {
+  std::pair<size_t, size_t> MinMaxBy(Measure measure) const {
     size_t low = 0;
     size_t high = 0;
     for (size_t i = 1; i < m_candidates.size(); ++i) {
@@ -200,7 +201,7 @@
 
   // Moves the least loaded partition when the counts differ too much.
   bool RebalanceByCount() {
-    const auto [low, high] = Extremes(&CellPlacement::CountPerSlot);
+    const auto [low, high] = MinMaxBy(&CellPlacement::CountPerSlot);
     const double gap =
         (CountPerSlot(high) - CountPerSlot(low)) * m_candidates[high].m_slots;
     if (gap <= kCountTolerance) {
@@ -222,7 +223,7 @@
   // Moves the partition that brings the two servers closest, if the busy one
   // is well over the mean and the gain outlasts the dwell time.
   void RebalanceByLoad() {
-    const auto [low, high] = Extremes(&CellPlacement::LoadPerSlot);
+    const auto [low, high] = MinMaxBy(&CellPlacement::LoadPerSlot);
     double total = 0;
     double slots = 0;
     for (const PlacementCandidate& candidate : m_candidates) {
@@ -236,15 +237,16 @@
     }
     const double gap = m_candidates[high].m_load - m_candidates[low].m_load;
     PartitionRow* chosen = nullptr;
-    double best = gap;
+    double smallest_gap = gap;
     ForEachMovable(high, [&](PartitionRow& partition) {
       const double after = std::abs(gap - 2 * partition.m_load);
-      if (after < best && m_now - partition.m_settled_at > m_settings.m_dwell) {
-        best = after;
+      if (after < smallest_gap &&
+          m_now - partition.m_stable_since > m_settings.m_move_cooldown) {
+        smallest_gap = after;
         chosen = &partition;
       }
     });
-    if (chosen && best < gap * kWorthwhile) {
+    if (chosen && smallest_gap < gap * kMaxRemainingGap) {
       Move(*chosen, low);
     }
   }
@@ -254,7 +256,7 @@
     for (const auto& [number, id] : m_cell.m_partitions) {
       PartitionRow& partition = m_tables.m_partitions.Get(id);
       if (partition.m_owner == m_receivers[index].m_id &&
-          MovesSmoothly(m_tables.m_servers.Get(partition.m_owner)) &&
+          CanMoveWithoutDelay(m_tables.m_servers.Get(partition.m_owner)) &&
           partition.m_pinned_to.empty() && MayStartMove(partition)) {
         visit(partition);
       }
@@ -265,7 +267,7 @@
   static constexpr double kCountTolerance = 2;
 
   // A load move must close at least this part of the gap.
-  static constexpr double kWorthwhile = 0.8;
+  static constexpr double kMaxRemainingGap = 0.8;
 
   ControlContext& m_context;
   ControlTables& m_tables;
@@ -275,7 +277,7 @@
   CellRow& m_cell;
   std::vector<PlacementCandidate> m_candidates;
   std::vector<Receiver> m_receivers;
-  std::map<BackendServerId, size_t> m_index;
+  std::map<BackendServerId, size_t> m_receiver_index;
 
   // First owners are chosen among all servers, not among the first to answer.
   bool m_all_probed = true;
--- a/src/control/plan_builder.cc
+++ b/src/control/plan_builder.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // Expected time for which requests of one partition wait during a planned move.
-constexpr double kHoldMsPerMove = 15;
+constexpr double kPauseMsPerMove = 15;
 
 template <typename Row>
 Row* FindNamed(std::vector<Row>& rows, const std::string& name) {
@@ -25,63 +25,63 @@
   return found == rows.end() ? nullptr : &*found;
 }
 
-bool ReadState(const IntentChange& change,
-               ServingState& state,
-               std::vector<IntentFault>& faults) {
+bool ParseState(const ConfigurationChange& change,
+                ServingState& state,
+                std::vector<IntentFault>& errors) {
   if (change.m_state == "serving") {
     state = ServingState::kServing;
   } else if (change.m_state == "leaving") {
     state = ServingState::kLeaving;
   } else {
-    faults.push_back({"state", "must be one of: serving, leaving"});
+    errors.push_back({"state", "must be one of: serving, leaving"});
     return false;
   }
   return true;
 }
 
-void ChangeDataCentre(const IntentChange& change,
+void ChangeDataCentre(const ConfigurationChange& change,
                       Configuration& configuration,
-                      std::vector<IntentFault>& faults) {
+                      std::vector<IntentFault>& errors) {
   auto* row = FindNamed(configuration.m_data_centres, change.m_name);
   if (!row) {
-    faults.push_back({"name", "no data centre '" + change.m_name + "'"});
+    errors.push_back({"name", "no data centre '" + change.m_name + "'"});
     return;
   }
-  ReadState(change, row->m_state, faults);
+  ParseState(change, row->m_state, errors);
 }
 
-void ChangeServer(const IntentChange& change,
+void ChangeServer(const ConfigurationChange& change,
                   Configuration& configuration,
-                  std::vector<IntentFault>& faults) {
+                  std::vector<IntentFault>& errors) {
   auto* service = FindNamed(configuration.m_services, change.m_service);
   auto* server =
       service ? FindNamed(service->m_servers, change.m_name) : nullptr;
   if (!server) {
-    faults.push_back({"name", "no server '" + change.m_name + "' in service '" +
+    errors.push_back({"name", "no server '" + change.m_name + "' in service '" +
                                   change.m_service + "'"});
     return;
   }
-  ReadState(change, server->m_state, faults);
+  ParseState(change, server->m_state, errors);
 }
 
-void GrantKey(const IntentChange& change,
-              Configuration& configuration,
-              std::vector<IntentFault>& faults) {
+void GrantApiKey(const ConfigurationChange& change,
+                 Configuration& configuration,
+                 std::vector<IntentFault>& errors) {
   auto* workspace = FindNamed(configuration.m_workspaces, change.m_workspace);
   if (!workspace) {
-    faults.push_back(
+    errors.push_back(
         {"workspace", "no workspace '" + change.m_workspace + "'"});
     return;
   }
   workspace->m_api_keys.push_back({change.m_name, change.m_digest});
 }
 
-void WithdrawKey(const IntentChange& change,
-                 Configuration& configuration,
-                 std::vector<IntentFault>& faults) {
+void WithdrawApiKey(const ConfigurationChange& change,
+                    Configuration& configuration,
+                    std::vector<IntentFault>& errors) {
   auto* workspace = FindNamed(configuration.m_workspaces, change.m_workspace);
   if (!workspace || !FindNamed(workspace->m_api_keys, change.m_name)) {
-    faults.push_back({"name", "no key '" + change.m_name + "' in workspace '" +
+    errors.push_back({"name", "no key '" + change.m_name + "' in workspace '" +
                                   change.m_workspace + "'"});
     return;
   }
@@ -92,7 +92,7 @@
 
 struct ChangeKind {
   const char* m_kind;
-  void (*m_apply)(const IntentChange&,
+  void (*m_apply)(const ConfigurationChange&,
                   Configuration&,
                   std::vector<IntentFault>&);
 };
@@ -100,27 +100,27 @@
 constexpr std::array<ChangeKind, 4> kChangeKinds = {{
     {"data_centre", &ChangeDataCentre},
     {"server", &ChangeServer},
-    {"key_grant", &GrantKey},
-    {"key_withdraw", &WithdrawKey},
+    {"key_grant", &GrantApiKey},
+    {"key_withdraw", &WithdrawApiKey},
 }};
 
 // Describes rows that were added, removed or changed.
 template <typename Row>
-void DescribeRows(const std::string& what,
+void DescribeRows(const std::string& kind,
                   const std::vector<Row>& base,
                   const std::vector<Row>& proposed,
                   std::vector<std::string>& lines) {
   for (const Row& row : base) {
     const Row* now = FindNamed(proposed, row.m_name);
     if (!now) {
-      lines.push_back(fmt::format("remove {} {}", what, row.m_name));
+      lines.push_back(fmt::format("remove {} {}", kind, row.m_name));
     } else if (!(*now == row)) {
-      lines.push_back(fmt::format("change {} {}", what, row.m_name));
+      lines.push_back(fmt::format("change {} {}", kind, row.m_name));
     }
   }
   for (const Row& row : proposed) {
     if (!FindNamed(base, row.m_name)) {
-      lines.push_back(fmt::format("add {} {}", what, row.m_name));
+      lines.push_back(fmt::format("add {} {}", kind, row.m_name));
     }
   }
 }
@@ -165,11 +165,11 @@
   }
   // Servers without partitions receive their part of the others'.
   const size_t servers = receivers.m_candidates.size();
-  const size_t even = servers ? assignment.m_owners.size() / servers : 0;
+  const size_t even_share = servers ? assignment.m_owners.size() / servers : 0;
   for (PlacementCandidate& candidate : receivers.m_candidates) {
     if (candidate.m_partitions == 0 && !assignment.m_owners.empty()) {
-      candidate.m_partitions = even;
-      moves += even;
+      candidate.m_partitions = even_share;
+      moves += even_share;
     }
   }
   return moves;
@@ -177,34 +177,34 @@
 
 }  // namespace
 
-void ApplyChange(const IntentChange& change,
+void ApplyChange(const ConfigurationChange& change,
                  Configuration& configuration,
-                 std::vector<IntentFault>& faults) {
+                 std::vector<IntentFault>& errors) {
   for (const ChangeKind& kind : kChangeKinds) {
     if (change.m_kind == kind.m_kind) {
-      kind.m_apply(change, configuration, faults);
+      kind.m_apply(change, configuration, errors);
       return;
     }
   }
-  faults.push_back({"kind",
+  errors.push_back({"kind",
                     "must be one of: data_centre, server, key_grant, "
                     "key_withdraw"});
 }
 
-void CheckAgainst(const Configuration& base,
-                  const Configuration& proposed,
-                  std::vector<IntentFault>& faults) {
+void ValidateChange(const Configuration& base,
+                    const Configuration& proposed,
+                    std::vector<IntentFault>& errors) {
   for (const ServiceConfig& service : proposed.m_services) {
     const ServiceConfig* before = FindService(base, service.m_name);
     if (before && before->m_partitions != service.m_partitions) {
-      faults.push_back({"services." + service.m_name + ".partitions",
+      errors.push_back({"services." + service.m_name + ".partitions",
                         "cannot change on an existing service"});
     }
     const bool serving = std::ranges::any_of(
         service.m_servers,
         [&](const auto& server) { return IsServing(proposed, server); });
     if (!serving) {
-      faults.push_back({"services." + service.m_name + ".servers",
+      errors.push_back({"services." + service.m_name + ".servers",
                         "no server would be left to take work"});
     }
   }
@@ -267,7 +267,7 @@
       }
     }
   }
-  plan.m_unavailable_ms = static_cast<double>(plan.m_moves) * kHoldMsPerMove;
+  plan.m_unavailable_ms = static_cast<double>(plan.m_moves) * kPauseMsPerMove;
 }
 
 }  // namespace foxtail
--- a/src/control/plan_builder.h
+++ b/src/control/plan_builder.h
@@ -11,7 +11,7 @@
 namespace foxtail {
 
 /// One change that an operator asks for, in place of a whole document.
-struct IntentChange {
+struct ConfigurationChange {
   /// "data_centre", "server", "key_grant" or "key_withdraw".
   std::string m_kind;
 
@@ -32,14 +32,14 @@
 };
 
 /// Applies one change to a configuration; adds faults when it cannot.
-void ApplyChange(const IntentChange& change,
+void ApplyChange(const ConfigurationChange& change,
                  Configuration& configuration,
-                 std::vector<IntentFault>& faults);
+                 std::vector<IntentFault>& errors);
 
 /// Adds the faults that only show against the configuration in force.
-void CheckAgainst(const Configuration& base,
-                  const Configuration& proposed,
-                  std::vector<IntentFault>& faults);
+void ValidateChange(const Configuration& base,
+                    const Configuration& proposed,
+                    std::vector<IntentFault>& errors);
 
 /// Returns one line per difference between two configurations.
 std::vector<std::string> DescribeChanges(const Configuration& base,
--- a/src/control/publish_system.cc
+++ b/src/control/publish_system.cc
@@ -21,31 +21,31 @@
 
   void Run() {
     if (!CanDecide(m_cell, m_now)) {
-      RefuseAll();
+      RejectAll();
       return;
     }
-    if (!m_cell.IsAccess() && m_cell.m_changed) {
+    if (!m_cell.IsAccess() && m_cell.m_routes_dirty) {
       BuildRoutes();
     }
-    m_cell.m_changed = false;
-    std::erase_if(m_cell.m_parked, [&](const ParkedSync& parked) {
-      if (!IsDue(parked)) {
+    m_cell.m_routes_dirty = false;
+    std::erase_if(m_cell.m_pending_syncs, [&](const PendingSync& pending) {
+      if (!IsDue(pending)) {
         return false;
       }
-      Answer(parked);
+      Respond(pending);
       return true;
     });
   }
 
  private:
-  void RefuseAll() {
-    for (const ParkedSync& parked : m_cell.m_parked) {
+  void RejectAll() {
+    for (const PendingSync& pending : m_cell.m_pending_syncs) {
       SyncResponse response;
       response.m_status = SyncStatus::kNotController;
-      m_context.m_outbox.m_syncs.push_back(
-          {parked.m_handle, std::move(response)});
+      m_context.m_outbox.m_sync_responses.push_back(
+          {pending.m_handle, std::move(response)});
     }
-    m_cell.m_parked.clear();
+    m_cell.m_pending_syncs.clear();
   }
 
   void BuildRoutes() {
@@ -56,7 +56,7 @@
     std::map<BackendServerId, uint32_t> indexes;
     for (const auto& [name, id] : m_cell.m_servers) {
       indexes[id] = static_cast<uint32_t>(routes->m_servers.size());
-      routes->m_servers.push_back(RouteTo(m_tables.m_servers.Get(id)));
+      routes->m_servers.push_back(BuildRouteServer(m_tables.m_servers.Get(id)));
     }
     for (const auto& [number, id] : m_cell.m_partitions) {
       const PartitionRow& partition = m_tables.m_partitions.Get(id);
@@ -65,13 +65,13 @@
         continue;
       }
       routes->m_partitions.push_back(
-          {number, index->second, partition.m_epoch, IsHeld(partition)});
+          {number, index->second, partition.m_epoch, IsPaused(partition)});
     }
     m_tables.m_crashes.ForEach([&](auto, const CrashRow& row) {
       if (row.m_cell != m_id) {
         return;
       }
-      if (row.m_condemned) {
+      if (row.m_quarantined) {
         routes->m_condemned.push_back(row.m_suspect.m_fingerprint);
       } else {
         routes->m_suspects.push_back(row.m_suspect);
@@ -80,7 +80,7 @@
     m_cell.m_routes = std::move(routes);
   }
 
-  RouteServer RouteTo(const BackendServerRow& server) const {
+  RouteServer BuildRouteServer(const BackendServerRow& server) const {
     RouteServer route;
     route.m_name = server.m_config.m_name;
     route.m_address = server.m_config.m_address;
@@ -88,88 +88,88 @@
     route.m_queue = server.m_config.m_queue;
     const DispatcherRow* dispatcher =
         m_tables.m_dispatchers.Find(server.m_dispatcher);
-    if (dispatcher && !server.m_dispatcher_leaving) {
-      route.m_dispatcher = dispatcher->m_name.m_address;
+    if (dispatcher && !server.m_dispatcher_releasing) {
+      route.m_dispatcher = dispatcher->m_identity.m_address;
     }
     return route;
   }
 
-  bool IsDue(const ParkedSync& parked) const {
-    if (parked.m_answer_now || m_now >= parked.m_answer_by) {
+  bool IsDue(const PendingSync& pending) const {
+    if (pending.m_superseded || m_now >= pending.m_respond_at) {
       return true;
     }
-    if (parked.m_routes_epoch != m_cell.m_lease.m_record.m_epoch) {
+    if (pending.m_routes_epoch != m_cell.m_lease.m_record.m_epoch) {
       return true;
     }
     return m_cell.IsAccess()
-               ? parked.m_access_version != m_tables.m_config.m_version
-               : parked.m_routes_version != m_cell.m_routes_version;
+               ? pending.m_access_version != m_tables.m_config.m_version
+               : pending.m_routes_version != m_cell.m_routes_version;
   }
 
-  void Answer(const ParkedSync& parked) {
+  void Respond(const PendingSync& pending) {
     SyncResponse response;
     response.m_control_epoch = m_cell.m_lease.m_record.m_epoch;
     response.m_config_version = m_tables.m_config.m_version;
-    response.m_number = ++m_cell.m_response_number;
+    response.m_number = ++m_cell.m_last_response_number;
     response.m_authority_left = std::chrono::duration_cast<milliseconds>(
         m_cell.m_lease.m_authority_until - m_now);
     if (m_cell.IsAccess()) {
-      AnswerAccess(parked, response);
+      AddAccessView(pending, response);
     } else {
-      AnswerService(parked, response);
+      AddRoutesAndLeases(pending, response);
     }
-    m_context.m_outbox.m_syncs.push_back(
-        {parked.m_handle, std::move(response)});
+    m_context.m_outbox.m_sync_responses.push_back(
+        {pending.m_handle, std::move(response)});
   }
 
-  void AnswerAccess(const ParkedSync& parked, SyncResponse& response) {
-    const bool known =
-        parked.m_routes_epoch == m_cell.m_lease.m_record.m_epoch &&
-        parked.m_access_version == m_tables.m_config.m_version;
-    if (!known) {
+  void AddAccessView(const PendingSync& pending, SyncResponse& response) {
+    const bool up_to_date =
+        pending.m_routes_epoch == m_cell.m_lease.m_record.m_epoch &&
+        pending.m_access_version == m_tables.m_config.m_version;
+    if (!up_to_date) {
       response.m_access = m_tables.m_access;
     }
   }
 
-  void AnswerService(const ParkedSync& parked, SyncResponse& response) {
-    const bool known =
-        parked.m_routes_epoch == m_cell.m_lease.m_record.m_epoch &&
-        parked.m_routes_version == m_cell.m_routes_version;
-    if (!known) {
+  void AddRoutesAndLeases(const PendingSync& pending, SyncResponse& response) {
+    const bool up_to_date =
+        pending.m_routes_epoch == m_cell.m_lease.m_record.m_epoch &&
+        pending.m_routes_version == m_cell.m_routes_version;
+    if (!up_to_date) {
       response.m_routes = m_cell.m_routes;
     }
     const ControlSettings& settings = m_tables.m_settings;
     response.m_held_for = std::chrono::duration_cast<milliseconds>(
-        (m_now - parked.m_received) * (1.0 - settings.m_clock_drift));
+        (m_now - pending.m_received_at) * (1.0 - settings.m_clock_drift));
     // A lease that ends soon after this controller's authority lets a successor
     // go on soon after a loss of both.
-    response.m_lease =
-        std::min(settings.m_dispatch_lease,
-                 response.m_authority_left + settings.m_dispatch_excess);
+    response.m_lease = std::min(
+        settings.m_dispatch_lease_ttl,
+        response.m_authority_left + settings.m_max_dispatch_lease_overrun);
     for (const auto& [name, id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(id);
-      if (server.m_dispatcher != parked.m_dispatcher ||
-          server.m_dispatcher_leaving) {
+      if (server.m_dispatcher != pending.m_dispatcher ||
+          server.m_dispatcher_releasing) {
         continue;
       }
       response.m_leased_servers.push_back(name);
-      if (!known) {
-        AddMemories(id, response);
+      if (!up_to_date) {
+        AddDedupStates(id, response);
       }
-      server.m_lease_bound =
-          std::max(server.m_lease_bound,
-                   m_now + WithDrift(settings, settings.m_dispatch_lease));
+      server.m_dispatch_lease_until = std::max(
+          server.m_dispatch_lease_until,
+          m_now + AddClockDrift(settings, settings.m_dispatch_lease_ttl));
     }
   }
 
-  void AddMemories(BackendServerId server, SyncResponse& response) {
-    m_tables.m_memories.ForEach([&](auto, const MemoryRow& row) {
-      const auto found = m_cell.m_partitions.find(row.m_memory.m_number);
+  void AddDedupStates(BackendServerId server, SyncResponse& response) {
+    m_tables.m_dedup_states.ForEach([&](auto, const DedupStateRow& row) {
+      const auto found = m_cell.m_partitions.find(row.m_dedup_state.m_number);
       if (row.m_cell != m_id || found == m_cell.m_partitions.end()) {
         return;
       }
       if (m_tables.m_partitions.Get(found->second).m_owner == server) {
-        response.m_memories.push_back(row.m_memory);
+        response.m_memories.push_back(row.m_dedup_state);
       }
     });
   }
@@ -181,10 +181,10 @@
   CellRow& m_cell;
 };
 
-void DropOldMemories(ControlTables& tables, TimePoint now) {
-  tables.m_memories.ForEach([&](auto id, const MemoryRow& row) {
-    if (now >= row.m_until) {
-      tables.m_memories.Erase(id);
+void EraseExpiredDedupStates(ControlTables& tables, TimePoint now) {
+  tables.m_dedup_states.ForEach([&](auto id, const DedupStateRow& row) {
+    if (now >= row.m_retained_until) {
+      tables.m_dedup_states.Erase(id);
     }
   });
 }
@@ -193,7 +193,7 @@
 
 void PublishSystem::Run(ControlContext& context) {
   ControlTables& tables = context.m_tables;
-  DropOldMemories(tables, context.m_now.m_steady);
+  EraseExpiredDedupStates(tables, context.m_now.m_steady);
   tables.m_cells.ForEach([&](CellId id, CellRow& cell) {
     CellPublisher(context, id, cell).Run();
   });
--- a/src/control/standby_choice.cc
+++ b/src/control/standby_choice.cc
@@ -9,7 +9,8 @@
 
 constexpr std::chrono::milliseconds kPeerTimeout{3000};
 
-uint64_t Weight(const CellRow& cell, const ControlInstance& instance) {
+uint64_t RendezvousWeight(const CellRow& cell,
+                          const ControlInstance& instance) {
   return FastHash(cell.m_name + "@" + instance.m_instance);
 }
 
@@ -17,7 +18,7 @@
                                       TimePoint now) {
   std::vector<const PeerRow*> live;
   tables.m_peers.ForEach([&](auto, const PeerRow& peer) {
-    if (now - peer.m_seen < kPeerTimeout) {
+    if (now - peer.m_last_seen_at < kPeerTimeout) {
       live.push_back(&peer);
     }
   });
@@ -26,11 +27,13 @@
 
 }  // namespace
 
-size_t RankOf(const ControlTables& tables, const CellRow& cell, TimePoint now) {
-  const uint64_t own = Weight(cell, tables.m_self);
+size_t RendezvousRank(const ControlTables& tables,
+                      const CellRow& cell,
+                      TimePoint now) {
+  const uint64_t own_weight = RendezvousWeight(cell, tables.m_self);
   size_t rank = 0;
   for (const PeerRow* peer : LivePeers(tables, now)) {
-    if (Weight(cell, peer->m_self) > own) {
+    if (RendezvousWeight(cell, peer->m_process) > own_weight) {
       ++rank;
     }
   }
@@ -43,17 +46,18 @@
                                             TimePoint now) {
   std::vector<const PeerRow*> peers = LivePeers(tables, now);
   std::ranges::sort(peers, [&](const PeerRow* a, const PeerRow* b) {
-    const bool a_near = a->m_data_centre == tables.m_data_centre;
-    const bool b_near = b->m_data_centre == tables.m_data_centre;
-    if (a_near != b_near) {
-      return b_near;
+    const bool a_is_local = a->m_data_centre == tables.m_data_centre;
+    const bool b_is_local = b->m_data_centre == tables.m_data_centre;
+    if (a_is_local != b_is_local) {
+      return b_is_local;
     }
-    return Weight(cell, a->m_self) > Weight(cell, b->m_self);
+    return RendezvousWeight(cell, a->m_process) >
+           RendezvousWeight(cell, b->m_process);
   });
   std::vector<ControlInstance> chosen;
   for (const PeerRow* peer : peers) {
     if (chosen.size() < tables.m_settings.m_standby_count) {
-      chosen.push_back(peer->m_self);
+      chosen.push_back(peer->m_process);
     }
   }
   std::ranges::sort(chosen);
--- a/src/control/standby_choice.h
+++ b/src/control/standby_choice.h
@@ -9,7 +9,9 @@
 
 /// Returns the rendezvous rank of this process among the live ones for a cell;
 /// 0 is the first choice.
-size_t RankOf(const ControlTables& tables, const CellRow& cell, TimePoint now);
+size_t RendezvousRank(const ControlTables& tables,
+                      const CellRow& cell,
+                      TimePoint now);
 
 /// Returns the processes that the lease of a cell should name as standbys,
 /// sorted.
--- a/src/control/token_system.cc
+++ b/src/control/token_system.cc
@@ -7,33 +7,36 @@
   const TimePoint now = context.m_now.m_steady;
   const CellId access = FindCell(tables, kAccessCell);
   const CellRow* cell = tables.m_cells.Find(access);
-  const bool holds =
+  const bool is_controller =
       cell && CanDecide(*cell, now) && ConfigIsFresh(tables, *cell);
-  if (holds && m_epoch != cell->m_lease.m_record.m_epoch) {
+  if (is_controller && m_epoch != cell->m_lease.m_record.m_epoch) {
     m_epoch = cell->m_lease.m_record.m_epoch;
-    m_holder.emplace(
-        WithDrift(tables.m_settings, tables.m_settings.m_token_lifetime));
-    m_holder->Begin(now);
+    m_issuer.emplace(
+        AddClockDrift(tables.m_settings, tables.m_settings.m_token_ttl));
+    m_issuer->Begin(now);
   }
-  for (const TokensAsked& asked : context.m_inbox.m_tokens) {
+  for (const ReceivedTokenRequest& received :
+       context.m_inbox.m_token_requests) {
     TokenResponse response;
-    response.m_lifetime = tables.m_settings.m_token_lifetime;
-    response.m_status = holds ? SyncStatus::kOk : SyncStatus::kNotController;
-    if (!holds && cell) {
+    response.m_lifetime = tables.m_settings.m_token_ttl;
+    response.m_status =
+        is_controller ? SyncStatus::kOk : SyncStatus::kNotController;
+    if (!is_controller && cell) {
       response.m_controller = cell->m_lease.m_record.m_holder.m_address;
     }
-    for (const TokenDemand& demand : asked.m_request.m_demands) {
+    for (const TokenDemand& demand : received.m_request.m_demands) {
       const auto id = tables.m_workspaces.FindIf([&](const WorkspaceRow& row) {
         return row.m_config.m_name == demand.m_workspace;
       });
-      if (holds && id.IsValid()) {
+      if (is_controller && id.IsValid()) {
         const WorkspaceConfig& config = tables.m_workspaces.Get(id).m_config;
         response.m_grants.push_back(
-            m_holder->Serve({config.m_name, config.m_rate, config.m_burst},
-                            asked.m_request.m_dispatcher, demand, now));
+            m_issuer->Serve({config.m_name, config.m_rate, config.m_burst},
+                            received.m_request.m_dispatcher, demand, now));
       }
     }
-    context.m_outbox.m_tokens.push_back({asked.m_handle, std::move(response)});
+    context.m_outbox.m_token_responses.push_back(
+        {received.m_handle, std::move(response)});
   }
 }
 
--- a/src/control/token_system.h
+++ b/src/control/token_system.h
@@ -16,7 +16,7 @@
 
  private:
   uint64_t m_epoch = 0;
-  std::optional<TokenHolder> m_holder;
+  std::optional<TokenHolder> m_issuer;
 };
 
 }  // namespace foxtail
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -26,14 +26,14 @@
   return std::make_unique<BoundedLoadPlacement>(kPlacementBound);
 }
 
-HttpRequest GrantRequest(const SendGrant& grant) {
+HttpRequest GrantRequest(const SendGrantCommand& grant) {
   Json::Value body;
   body["service"] = grant.m_cell_name;
   body["control_epoch"] = Json::UInt64(grant.m_control_epoch);
   body["number"] = Json::UInt64(grant.m_number);
-  body["lifetime_ms"] = Json::Int64(grant.m_lifetime.count());
+  body["lifetime_ms"] = Json::Int64(grant.m_ttl.count());
   body["expires_unix_ms"] =
-      Json::Int64(grant.m_expires.time_since_epoch().count());
+      Json::Int64(grant.m_expires_at.time_since_epoch().count());
   body["partitions"] = Json::Value(Json::arrayValue);
   for (const auto& [number, epoch] : grant.m_partitions) {
     Json::Value row(Json::arrayValue);
@@ -61,16 +61,17 @@
       m_tick(PlacementOf(settings)) {
   m_tables.m_self = std::move(self);
   m_tables.m_data_centre = settings.m_data_centre;
-  m_tables.m_started = Clock::now();
-  m_tables.m_settings.m_lease_hold = settings.m_lease_hold;
-  m_tables.m_settings.m_lease_take = settings.m_lease_take;
+  m_tables.m_started_at = Clock::now();
+  m_tables.m_settings.m_lease_ttl = settings.m_lease_ttl;
+  m_tables.m_settings.m_takeover_delay = settings.m_takeover_delay;
 }
 
 void ControlLoop::Run() {
   while (!MayEnd()) {
     Tick();
-    const bool arrived = !m_inbox.m_rows.empty() || !m_inbox.m_syncs.empty() ||
-                         !m_inbox.m_tokens.empty();
+    const bool arrived = !m_inbox.m_row_responses.empty() ||
+                         !m_inbox.m_sync_requests.empty() ||
+                         !m_inbox.m_token_requests.empty();
     if (!arrived) {
       m_arrived.WaitUntil(Clock::now() + kTickPeriod);
     }
@@ -105,34 +106,34 @@
 }
 
 void ControlLoop::CarryOut(ControlOutbox& outbox) {
-  for (const NoteEvent& note : outbox.m_events) {
+  for (const LogEventCommand& note : outbox.m_events) {
     m_events.Write(note.m_number, note.m_fields);
   }
   AnswerWaiting(outbox);
   CarryOutRows(outbox);
   CarryOutServers(outbox);
-  for (const AskPromise& ask : outbox.m_promises) {
+  for (const RequestPromiseCommand& ask : outbox.m_promise_requests) {
     StartFiber([this, ask] { AskForPromise(ask); });
   }
 }
 
 void ControlLoop::CarryOutRows(ControlOutbox& outbox) {
-  for (const ReadRow& read : outbox.m_reads) {
+  for (const ReadRecordCommand& read : outbox.m_reads) {
     StartFiber([this, read, sent = Clock::now()] {
-      RowAnswer answer{read.m_purpose, read.m_cell, false, {}, sent};
+      RowResponse answer{read.m_purpose, read.m_cell, false, {}, sent};
       answer.m_result = m_store.Read(read.m_key);
       NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoAnswer);
-      m_inbox.m_rows.push_back(std::move(answer));
+      m_inbox.m_row_responses.push_back(std::move(answer));
       m_arrived.Notify();
     });
   }
-  for (WriteRow& write : outbox.m_writes) {
+  for (WriteRecordCommand& write : outbox.m_writes) {
     StartFiber([this, write = std::move(write), sent = Clock::now()] {
-      RowAnswer answer{write.m_purpose, write.m_cell, true, {}, sent};
+      RowResponse answer{write.m_purpose, write.m_cell, true, {}, sent};
       answer.m_result =
           m_store.Write(write.m_key, write.m_if_version, write.m_value);
       NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoAnswer);
-      m_inbox.m_rows.push_back(std::move(answer));
+      m_inbox.m_row_responses.push_back(std::move(answer));
       m_arrived.Notify();
     });
   }
@@ -151,47 +152,47 @@
 }
 
 void ControlLoop::CarryOutServers(ControlOutbox& outbox) {
-  for (SendGrant& grant : outbox.m_grants) {
+  for (SendGrantCommand& grant : outbox.m_grants) {
     StartFiber([this, grant = std::move(grant)] { SendGrantTo(grant); });
   }
-  for (const SendProbe& probe : outbox.m_probes) {
+  for (const SendProbeCommand& probe : outbox.m_probes) {
     StartFiber([this, probe] { ProbeServer(probe); });
   }
 }
 
-void ControlLoop::SendGrantTo(const SendGrant& grant) {
-  GrantAnswer answer;
+void ControlLoop::SendGrantTo(const SendGrantCommand& grant) {
+  GrantResponse answer;
   answer.m_server = grant.m_server;
   answer.m_number = grant.m_number;
   const ExchangeResult result =
       m_client.Exchange(ParseAddress(grant.m_address), GrantRequest(grant),
                         Clock::now() + m_settings.m_server_timeout);
   answer.m_accepted = result.m_ok && result.m_response.m_status == kStatusOk;
-  m_inbox.m_grants.push_back(std::move(answer));
+  m_inbox.m_grant_responses.push_back(std::move(answer));
   m_arrived.Notify();
 }
 
-void ControlLoop::ProbeServer(const SendProbe& probe) {
+void ControlLoop::ProbeServer(const SendProbeCommand& probe) {
   HttpRequest request;
   request.m_target = "/health";
-  ProbeAnswer answer;
+  ProbeResponse answer;
   answer.m_server = probe.m_server;
   const ExchangeResult result =
       m_client.Exchange(ParseAddress(probe.m_address), request,
                         Clock::now() + m_settings.m_server_timeout);
   answer.m_answered = result.m_ok && result.m_response.m_status == kStatusOk;
-  answer.m_instance =
+  answer.m_incarnation =
       result.m_response.m_headers.GetOr("x-server-instance", "");
-  m_inbox.m_probes.push_back(std::move(answer));
+  m_inbox.m_probe_responses.push_back(std::move(answer));
   m_arrived.Notify();
 }
 
-void ControlLoop::AskForPromise(const AskPromise& ask) {
-  PromiseAnswer answer;
+void ControlLoop::AskForPromise(const RequestPromiseCommand& ask) {
+  PromiseResponse answer;
   answer.m_cell = ask.m_cell;
   answer.m_standby = ask.m_standby;
   answer.m_epoch = ask.m_epoch;
-  answer.m_sent = Clock::now();
+  answer.m_sent_at = Clock::now();
   try {
     const ControlRpcClient client(m_client, m_settings.m_cluster_secret,
                                   kPromiseTimeout);
@@ -199,7 +200,7 @@
   } catch (const Error&) {
     answer.m_given = false;
   }
-  m_inbox.m_promises.push_back(std::move(answer));
+  m_inbox.m_promise_responses.push_back(std::move(answer));
   m_arrived.Notify();
 }
 
@@ -215,9 +216,9 @@
 }
 
 void ControlLoop::AnswerWaiting(ControlOutbox& outbox) {
-  Complete(m_syncs, outbox.m_syncs);
-  Complete(m_tokens, outbox.m_tokens);
-  for (const GivePromise& answer : outbox.m_promise_answers) {
+  Complete(m_syncs, outbox.m_sync_responses);
+  Complete(m_tokens, outbox.m_token_responses);
+  for (const PromiseResponseCommand& answer : outbox.m_promise_responses) {
     const auto found = m_promises.find(answer.m_handle);
     if (found != m_promises.end()) {
       found->second.set_value(answer.m_given);
@@ -229,7 +230,7 @@
 SyncResponse ControlLoop::Sync(SyncRequest request) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_syncs[handle].get_future();
-  m_inbox.m_syncs.push_back({handle, std::move(request), Clock::now()});
+  m_inbox.m_sync_requests.push_back({handle, std::move(request), Clock::now()});
   m_arrived.Notify();
   return answer.get();
 }
@@ -237,7 +238,8 @@
 TokenResponse ControlLoop::Tokens(TokenRequest request) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_tokens[handle].get_future();
-  m_inbox.m_tokens.push_back({handle, std::move(request), Clock::now()});
+  m_inbox.m_token_requests.push_back(
+      {handle, std::move(request), Clock::now()});
   m_arrived.Notify();
   return answer.get();
 }
@@ -247,18 +249,18 @@
                           uint64_t epoch) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_promises[handle].get_future();
-  m_inbox.m_promises_asked.push_back({handle, cell, holder, epoch});
+  m_inbox.m_promise_requests.push_back({handle, cell, holder, epoch});
   m_arrived.Notify();
   return answer.get();
 }
 
 void ControlLoop::NotePeer(const ControlInstance& peer,
                            const std::string& data_centre) {
-  m_inbox.m_peers.push_back({peer, data_centre});
+  m_inbox.m_peer_responses.push_back({peer, data_centre});
 }
 
 void ControlLoop::PollConfig() {
-  m_tables.m_config.m_next_poll = Clock::now();
+  m_tables.m_config.m_next_poll_at = Clock::now();
   m_arrived.Notify();
 }
 
--- a/src/daemon/control_loop.h
+++ b/src/daemon/control_loop.h
@@ -64,9 +64,9 @@
   void CarryOutRows(ControlOutbox& outbox);
   void CarryOutServers(ControlOutbox& outbox);
   void AnswerWaiting(ControlOutbox& outbox);
-  void AskForPromise(const AskPromise& ask);
-  void SendGrantTo(const SendGrant& grant);
-  void ProbeServer(const SendProbe& probe);
+  void AskForPromise(const RequestPromiseCommand& ask);
+  void SendGrantTo(const SendGrantCommand& grant);
+  void ProbeServer(const SendProbeCommand& probe);
   void NotePlatform(bool answers);
 
   template <typename Response, typename Answers>
--- a/src/daemon/control_rpc.cc
+++ b/src/daemon/control_rpc.cc
@@ -116,7 +116,7 @@
 
 void ControlRpc::Change(const Json::Value& parameters, Json::Value& result) {
   Answer(result, [&] {
-    IntentChange change;
+    ConfigurationChange change;
     change.m_kind = parameters["kind"].asString();
     change.m_name = parameters["name"].asString();
     change.m_service = parameters["service"].asString();
--- a/src/daemon/control_rpc_client.cc
+++ b/src/daemon/control_rpc_client.cc
@@ -50,7 +50,7 @@
   return ResultOrThrow(result);
 }
 
-bool ControlRpcClient::AskPromise(const struct AskPromise& ask,
+bool ControlRpcClient::AskPromise(const struct RequestPromiseCommand& ask,
                                   const ControlInstance& self) const {
   Json::Value parameters;
   parameters["cell"] = ask.m_cell_name;
@@ -62,7 +62,7 @@
   return Call(ask.m_standby.m_address, "promise", parameters).asBool();
 }
 
-PeerAnswer ControlRpcClient::Hello(const std::string& address) const {
+PeerResponse ControlRpcClient::Hello(const std::string& address) const {
   const Json::Value answer =
       Call(address, "hello", Json::Value(Json::objectValue));
   return {{answer["instance"].asString(), answer["address"].asString()},
--- a/src/daemon/control_rpc_client.h
+++ b/src/daemon/control_rpc_client.h
@@ -23,11 +23,11 @@
                    const Json::Value& parameters) const;
 
   /// Asks a standby for a promise; returns whether it was given.
-  bool AskPromise(const struct AskPromise& ask,
+  bool AskPromise(const struct RequestPromiseCommand& ask,
                   const ControlInstance& self) const;
 
   /// Greets another control process; returns who it is.
-  PeerAnswer Hello(const std::string& address) const;
+  PeerResponse Hello(const std::string& address) const;
 
  private:
   HttpClient& m_client;
--- a/src/daemon/daemon_settings.cc
+++ b/src/daemon/daemon_settings.cc
@@ -36,11 +36,11 @@
      "how owners of partitions are chosen: bounded or rendezvous",
      &S::m_placement},
     {"lease-hold", "FOXTAIL_CONTROL_LEASE_HOLD", "ms", 500, 60'000,
-     "life of the control lease after a renewal was sent", &S::m_lease_hold},
+     "life of the control lease after a renewal was sent", &S::m_lease_ttl},
     {"lease-take", "FOXTAIL_CONTROL_LEASE_TAKE", "ms", 525, 63'000,
      "time an unchanged lease row is watched before a takeover; at least 5% "
      "longer than lease-hold",
-     &S::m_lease_take},
+     &S::m_takeover_delay},
 }};
 
 }  // namespace
--- a/src/daemon/daemon_settings.h
+++ b/src/daemon/daemon_settings.h
@@ -41,10 +41,10 @@
   std::string m_placement = "bounded";
 
   /// Life of the control lease after a renewal was sent.
-  std::chrono::milliseconds m_lease_hold{700};
+  std::chrono::milliseconds m_lease_ttl{700};
 
   /// Time an unchanged lease row is watched before a takeover.
-  std::chrono::milliseconds m_lease_take{740};
+  std::chrono::milliseconds m_takeover_delay{740};
 };
 
 /// The settings table of `foxtail-control`.
--- a/src/daemon/operator_service.cc
+++ b/src/daemon/operator_service.cc
@@ -108,7 +108,7 @@
   return StorePlan("apply a document", base, version, proposed);
 }
 
-PlanRecord OperatorService::ProposeChange(const IntentChange& change) {
+PlanRecord OperatorService::ProposeChange(const ConfigurationChange& change) {
   uint64_t version = 0;
   const Configuration base = ReadConfiguration(version);
   Configuration proposed = base;
@@ -126,7 +126,7 @@
                                       uint64_t base_version,
                                       const Configuration& proposed) {
   std::vector<IntentFault> faults;
-  CheckAgainst(base, proposed, faults);
+  ValidateChange(base, proposed, faults);
   ThrowFaults(faults);
   PlanRecord plan;
   plan.m_id = NewPlanId();
--- a/src/daemon/operator_service.h
+++ b/src/daemon/operator_service.h
@@ -22,7 +22,7 @@
   PlanRecord ProposeDocument(const Json::Value& document);
 
   /// Makes and stores a plan that changes one thing.
-  PlanRecord ProposeChange(const IntentChange& change);
+  PlanRecord ProposeChange(const ConfigurationChange& change);
 
   /// Returns a stored plan. Throws `Error(kPlanUnknown)`.
   PlanRecord ShowPlan(const std::string& id);
--- a/src/daemon/status_report.cc
+++ b/src/daemon/status_report.cc
@@ -26,7 +26,7 @@
 std::string DispatcherOf(const ControlTables& tables,
                          const BackendServerRow& server) {
   const DispatcherRow* row = tables.m_dispatchers.Find(server.m_dispatcher);
-  return row ? row->m_name.m_address : "";
+  return row ? row->m_identity.m_address : "";
 }
 
 Json::Value ServersOf(const ControlTables& tables, const CellRow& cell) {
@@ -78,12 +78,12 @@
       return;
     }
     Json::Value row;
-    row["address"] = dispatcher.m_name.m_address;
+    row["address"] = dispatcher.m_identity.m_address;
     row["data_centre"] = dispatcher.m_data_centre;
     row["configuration"] = Json::UInt64(dispatcher.m_config_version);
     row["routes"] = Json::UInt64(dispatcher.m_routes_version);
-    row["heard_ms_ago"] = Milliseconds(now - dispatcher.m_last_sync);
-    row["leaving"] = dispatcher.m_leaving;
+    row["heard_ms_ago"] = Milliseconds(now - dispatcher.m_last_sync_at);
+    row["leaving"] = dispatcher.m_shutting_down;
     dispatchers.append(row);
   });
   return dispatchers;
@@ -159,7 +159,7 @@
   report["reason"] = partition.m_pinned_to.empty()
                          ? "placed by load over the serving servers"
                          : "pinned to " + partition.m_pinned_to;
-  report["since_ms"] = Milliseconds(now - partition.m_settled_at);
+  report["since_ms"] = Milliseconds(now - partition.m_stable_since);
   report["load"] = partition.m_load;
   report["controller"] = tables.m_self.m_address;
   report["control_epoch"] = Json::UInt64(cell->m_lease.m_record.m_epoch);
--- a/tests/control/control_test.cc
+++ b/tests/control/control_test.cc
@@ -24,7 +24,7 @@
       [&] { return world.HolderOf("catalogue") == 1 - holder; }));
   const ControlSettings settings;
   EXPECT_GE(world.Now() - stopped,
-            settings.m_lease_hold - settings.m_lease_renew);
+            settings.m_lease_ttl - settings.m_lease_renew_period);
   EXPECT_LE(world.Now() - stopped, milliseconds(1000));
 }
 
@@ -157,7 +157,7 @@
     server.m_state = ServingState::kLeaving;
   }
   std::vector<IntentFault> faults;
-  CheckAgainst(OneService(), proposed, faults);
+  ValidateChange(OneService(), proposed, faults);
   ASSERT_EQ(faults.size(), 1U);
   EXPECT_EQ(faults[0].m_place, "services.catalogue.servers");
 }
--- a/tests/support/fake_world.cc
+++ b/tests/support/fake_world.cc
@@ -77,7 +77,7 @@
     node.m_tables.m_self = {"run-" + std::to_string(i),
                             "127.0.0.1:" + std::to_string(i + 1)};
     node.m_tables.m_data_centre = "dc-" + std::to_string(i % 2);
-    node.m_tables.m_started = m_now.m_steady;
+    node.m_tables.m_started_at = m_now.m_steady;
     node.m_tick = std::make_unique<ControlTick>(
         std::make_unique<BoundedLoadPlacement>(1.1));
     m_nodes.push_back(std::move(node));
@@ -150,7 +150,7 @@
 void FakeWorld::RunNode(FakeNode& node) {
   for (const FakeNode& other : m_nodes) {
     if (!other.m_stopped) {
-      node.m_inbox.m_peers.push_back(
+      node.m_inbox.m_peer_responses.push_back(
           {other.m_tables.m_self, other.m_tables.m_data_centre});
     }
   }
@@ -162,48 +162,49 @@
 }
 
 void FakeWorld::CarryOut(FakeNode& node, ControlOutbox& outbox) {
-  for (const ReadRow& read : outbox.m_reads) {
-    node.m_inbox.m_rows.push_back({read.m_purpose, read.m_cell, false,
-                                   m_store.Read(read.m_key), m_now.m_steady});
+  for (const ReadRecordCommand& read : outbox.m_reads) {
+    node.m_inbox.m_row_responses.push_back({read.m_purpose, read.m_cell, false,
+                                            m_store.Read(read.m_key),
+                                            m_now.m_steady});
   }
-  for (const WriteRow& write : outbox.m_writes) {
-    node.m_inbox.m_rows.push_back(
+  for (const WriteRecordCommand& write : outbox.m_writes) {
+    node.m_inbox.m_row_responses.push_back(
         {write.m_purpose, write.m_cell, true,
          m_store.Write(write.m_key, write.m_if_version, write.m_value),
          m_now.m_steady});
   }
-  for (const AskPromise& ask : outbox.m_promises) {
+  for (const RequestPromiseCommand& ask : outbox.m_promise_requests) {
     AskPromiseOf(node, ask);
   }
-  for (const GivePromise& answer : outbox.m_promise_answers) {
+  for (const PromiseResponseCommand& answer : outbox.m_promise_responses) {
     const auto found = m_promises.find(answer.m_handle);
     if (found != m_promises.end()) {
       found->second(answer.m_given);
       m_promises.erase(found);
     }
   }
-  for (const SendGrant& grant : outbox.m_grants) {
-    node.m_inbox.m_grants.push_back(
+  for (const SendGrantCommand& grant : outbox.m_grants) {
+    node.m_inbox.m_grant_responses.push_back(
         {grant.m_server, grant.m_number, true, "run"});
   }
-  for (const SendProbe& probe : outbox.m_probes) {
-    node.m_inbox.m_probes.push_back({probe.m_server, true, "run"});
+  for (const SendProbeCommand& probe : outbox.m_probes) {
+    node.m_inbox.m_probe_responses.push_back({probe.m_server, true, "run"});
   }
-  for (const AnswerTokens& answer : outbox.m_tokens) {
+  for (const TokenResponseCommand& answer : outbox.m_token_responses) {
     m_tokens[answer.m_handle] = answer.m_response;
   }
 }
 
-void FakeWorld::AskPromiseOf(FakeNode& node, const AskPromise& ask) {
+void FakeWorld::AskPromiseOf(FakeNode& node, const RequestPromiseCommand& ask) {
   for (FakeNode& other : m_nodes) {
     if (other.m_tables.m_self != ask.m_standby || other.m_stopped) {
       continue;
     }
     const uint64_t handle = ++m_last_handle;
-    other.m_inbox.m_promises_asked.push_back(
+    other.m_inbox.m_promise_requests.push_back(
         {handle, ask.m_cell_name, node.m_tables.m_self, ask.m_epoch});
     m_promises[handle] = [&node, ask, sent = m_now.m_steady](bool given) {
-      node.m_inbox.m_promises.push_back(
+      node.m_inbox.m_promise_responses.push_back(
           {ask.m_cell, ask.m_standby, ask.m_epoch, given, sent});
     };
   }
@@ -216,7 +217,7 @@
   TokenRequest request;
   request.m_dispatcher = {"entry-" + std::to_string(handle), "run"};
   request.m_demands = {{workspace, 0, 0, wanted}};
-  m_nodes.at(node).m_inbox.m_tokens.push_back(
+  m_nodes.at(node).m_inbox.m_token_requests.push_back(
       {handle, request, m_now.m_steady});
   RunNode(m_nodes.at(node));
   const TokenResponse& response = m_tokens[handle];
--- a/tests/support/fake_world.h
+++ b/tests/support/fake_world.h
@@ -82,7 +82,7 @@
   void Step();
   void RunNode(FakeNode& node);
   void CarryOut(FakeNode& node, ControlOutbox& outbox);
-  void AskPromiseOf(FakeNode& node, const AskPromise& ask);
+  void AskPromiseOf(FakeNode& node, const RequestPromiseCommand& ask);
   void CountHolders();
 
   struct Now m_now;
