--- a/model/control.pml
+++ b/model/control.pml
@@ -2,26 +2,29 @@
  *
  * Two control processes (P[0], P[1]) may hold the cell's lease, two dispatchers
  * may hold a dispatch lease, two backend servers may own the partition. Time is
- * discrete and advances for all at once; every timer counts down. Processes may
- * be slow at any moment: only their timers bind them. The names of the phases
- * are those of src/control.
+ * discrete and advances for all processes at once; every timer counts down.
+ * Processes may be arbitrarily slow; only their timers constrain them. The
+ * names of the phases are those of src/control.
  *
- * Variants remove one guard each (-DNO_...); all must give a counterexample:
- *   NO_TAKE_WAIT     a standby takes over without watching for a full period
- *   NO_PROMISE       a standby that promised takes over all the same
- *   NO_HOLD_LIMIT    a holder acts although its authority ran out
- *   NO_ROW_CHECK     rows are written without their version (no condition)
- *   NO_RELEASE_WAIT  the new owner starts before the old right has ended
- *   NO_RUN_BOUND     a lapse does not wait for the requests still running
- *   NO_CONFIG_READ   a new holder publishes the configuration it knew before
- *   NO_RECORD_FIRST  an assignment is finished before it is recorded
+ * Each variant (-DNO_...) removes one guard and must have a counterexample:
+ *   NO_TAKE_WAIT     a standby takes over without waiting for TAKEOVER_DELAY
+ *   NO_PROMISE       a standby takes over despite its promise
+ *   NO_HOLD_LIMIT    a holder acts after its authority has expired
+ *   NO_ROW_CHECK     rows are written without a check of their version
+ *   NO_RELEASE_WAIT  the new owner starts before the previous owner's right has
+ *                    ended
+ *   NO_RUN_BOUND     an expired dispatch lease does not wait for requests that
+ *                    are still running
+ *   NO_CONFIG_READ   a new holder publishes the configuration that it read
+ *                    before its lease
+ *   NO_RECORD_FIRST  a move is finished before the assignment is recorded
  */
 
-#define HOLD 2    /* holder acts this long after it sent a renewal      */
-#define TAKE 3    /* standby watches an unchanged row this long         */
-#define PROMISE 3 /* life of a promise at the standby                   */
-#define LEASE 2   /* life of a dispatch lease                           */
-#define RUN 2     /* longest time a request runs at a server            */
+#define LEASE_TTL 2          /* holder acts this long after it sent a renewal */
+#define TAKEOVER_DELAY 3     /* standby waits this long on an unchanged row */
+#define PROMISE_TTL 3        /* TTL of a promise, at the standby */
+#define DISPATCH_LEASE_TTL 2 /* TTL of a dispatch lease */
+#define MAX_RUN 2            /* maximum time a request runs at a server */
 #define NONE 9
 
 #ifndef CHECKS_FENCE
@@ -37,56 +40,58 @@
 #define OUTAGES 1
 #endif
 
-mtype = { watching, taking, holding };
+mtype = { watching, acquiring, holding };
 
 typedef Control {
   mtype phase = watching;
-  byte authority;       /* ticks it may still act */
-  byte watched;         /* ticks the row was seen unchanged */
-  byte seen;            /* row version last read */
-  byte promised;        /* ticks it must not take over */
+  byte authority;       /* ticks for which it may still act */
+  byte watched;         /* ticks for which the lease row was unchanged */
+  byte seen;            /* version of the lease row last read */
+  byte promised;        /* ticks for which it must not take over */
   byte config;          /* configuration version it publishes */
-  bit fresh;            /* configuration read under this lease */
-  byte owner;           /* owner as it read it */
-  byte row = NONE;      /* assignment row version as it read it */
-  bit moving;           /* a move is recorded and not finished */
-  byte wait_lease;      /* ticks until older dispatch leases are over */
-  byte wait_run;        /* ticks until older requests are over */
-  byte lost_base = NONE; /* base of a takeover without an answer, or NONE */
+  bit config_fresh;     /* configuration read under this lease */
+  byte owner;           /* owner as last read or written */
+  byte row = NONE;      /* version of the assignment row last read */
+  bit moving;           /* a move is recorded but not finished */
+  byte wait_lease;      /* ticks until older dispatch leases have expired */
+  byte wait_run;        /* ticks until older requests have ended */
+  byte pending_base = NONE; /* version that a takeover without a response
+                               requires, or NONE */
 };
 
 typedef Dispatcher {
-  byte lease;           /* ticks it may still send */
-  byte server = NONE;   /* where it sends */
+  byte lease;           /* ticks for which it may still send */
+  byte server = NONE;   /* server to which it sends */
 };
 
 typedef Server {
-  byte running;         /* ticks a request still runs; 0: none */
+  byte running;         /* ticks for which a request may still run; 0: none */
 };
 
 Control P[2];
 Dispatcher D[2];
 Server S[2];
 
-bit platform = 1;       /* answers */
+bit platform = 1;       /* the platform responds */
 byte lease_row;         /* version of the lease row */
 byte lease_holder = NONE;
 byte assign_row;        /* version of the assignment row */
 byte assign_owner;      /* recorded owner */
 byte config_row;        /* confirmed configuration version */
-byte published;         /* highest configuration version any entry acts on */
+byte published;         /* latest configuration version that an entry uses */
 byte outages = OUTAGES;
 byte confirms = CONFIRMS;
 byte moves = MOVES;
 
-/* Bounds of the search: writes of the two rows. */
+/* Limits of the search: maximum versions of the two rows. */
 #define LEASE_LIMIT 4
 #define ASSIGN_LIMIT 4
-#define ACTS(i) (P[i].phase == holding && (P[i].authority > 0 || HOLD_IGNORED))
+#define MAY_ACT(i) \
+  (P[i].phase == holding && (P[i].authority > 0 || AUTHORITY_IGNORED))
 #ifdef NO_HOLD_LIMIT
-#define HOLD_IGNORED 1
+#define AUTHORITY_IGNORED 1
 #else
-#define HOLD_IGNORED 0
+#define AUTHORITY_IGNORED 0
 #endif
 
 #ifdef NO_ROW_CHECK
@@ -96,11 +101,11 @@
 #endif
 
 inline safety() {
-  /* Never two servers running requests for one partition. */
+  /* At most one server runs requests for the partition. */
   assert(!(S[0].running > 0 && S[1].running > 0));
 }
 
-/* One tick of time. A holder whose authority ends stops acting. */
+/* Advances time by one tick. */
 active proctype Time() {
   do
   :: atomic {
@@ -108,7 +113,7 @@
        for (i : 0 .. 1) {
          if :: P[i].authority > 0 -> P[i].authority-- :: else fi;
          if :: P[i].promised > 0 -> P[i].promised-- :: else fi;
-         if :: P[i].watched < TAKE -> P[i].watched++ :: else fi;
+         if :: P[i].watched < TAKEOVER_DELAY -> P[i].watched++ :: else fi;
          if :: P[i].wait_lease > 0 -> P[i].wait_lease-- :: else fi;
          if :: P[i].wait_run > 0 -> P[i].wait_run-- :: else fi;
          if :: D[i].lease > 0 -> D[i].lease-- :: else fi;
@@ -119,7 +124,7 @@
   od
 }
 
-/* The platform's outages. */
+/* Begins and ends outages of the platform. */
 active proctype Platform() {
   do
   :: atomic { platform == 1 && outages > 0 -> platform = 0; outages-- }
@@ -127,132 +132,137 @@
   od
 }
 
-/* Operators confirm configurations: a conditional write. */
+/* Confirms configurations by a conditional write, as operators do. */
 active proctype Operator() {
   do
   :: atomic { platform && confirms > 0 -> config_row++; confirms-- }
   od
 }
 
-inline begin_holding(i, sent) {
+inline begin_holding(i, remaining) {
   P[i].phase = holding;
-  P[i].authority = sent;
-  P[i].lost_base = NONE;
+  P[i].authority = remaining;
+  P[i].pending_base = NONE;
 #ifndef NO_CONFIG_READ
-  P[i].fresh = 0;
+  P[i].config_fresh = 0;
 #else
-  P[i].fresh = 1;
+  P[i].config_fresh = 1;
 #endif
   P[i].moving = 0;
   P[i].row = NONE;
-  P[i].wait_lease = LEASE;
-  P[i].wait_run = LEASE + RUN;
+  P[i].wait_lease = DISPATCH_LEASE_TTL;
+  P[i].wait_run = DISPATCH_LEASE_TTL + MAX_RUN;
 }
 
 proctype Controller(byte i) {
   do
-  /* kWatching: read the row; a changed row starts the wait again. */
+  /* kWatching: reads the row; a changed row restarts the wait. */
   :: atomic {
        P[i].phase == watching && platform && P[i].seen != lease_row ->
        P[i].seen = lease_row;
        P[i].watched = 0
      }
-  /* kWatching to kTaking: the row stood unchanged for a full period. */
+  /* kWatching to kAcquiring: the row was unchanged for the takeover delay. */
   :: atomic {
        P[i].phase == watching && lease_row < LEASE_LIMIT &&
        P[i].seen == lease_row &&
 #ifndef NO_TAKE_WAIT
-       P[i].watched >= TAKE &&
+       P[i].watched >= TAKEOVER_DELAY &&
 #endif
 #ifndef NO_PROMISE
        P[i].promised == 0 &&
 #endif
-       P[i].lost_base == NONE && lease_holder != i ->
-       P[i].phase = taking
+       P[i].pending_base == NONE && lease_holder != i ->
+       P[i].phase = acquiring
      }
-  /* kTaking: the conditional write, answered or not. */
+  /* kAcquiring: the conditional write, whose response may be lost. */
   :: atomic {
-       P[i].phase == taking && P[i].lost_base == NONE && platform ->
+       P[i].phase == acquiring && P[i].pending_base == NONE && platform ->
        if
        :: ROW_MATCHES(lease_row, P[i].seen) ->
             lease_row++;
             lease_holder = i;
             if
-            :: P[i].seen = lease_row; begin_holding(i, HOLD)
-            :: P[i].lost_base = P[i].seen /* effective, answer lost */
+            :: P[i].seen = lease_row; begin_holding(i, LEASE_TTL)
+            :: P[i].pending_base = P[i].seen /* written, response lost */
             fi
        :: else -> P[i].phase = watching; P[i].seen = lease_row; P[i].watched = 0
        fi
      }
-  /* A lost answer: the row tells. The write counts from when it was sent, so
-     nothing of its authority is taken for granted; it is renewed first. */
+  /* kAcquiring after a lost response: reads the row. The lease counts from when
+     the write was sent, so no authority remains for certain before the first
+     renewal. */
   :: atomic {
-       P[i].phase == taking && P[i].lost_base != NONE && platform ->
+       P[i].phase == acquiring && P[i].pending_base != NONE && platform ->
        if
-       :: lease_row == P[i].lost_base + 1 && lease_holder == i ->
+       :: lease_row == P[i].pending_base + 1 && lease_holder == i ->
             P[i].seen = lease_row;
             begin_holding(i, 0)
        :: else ->
-            P[i].lost_base = NONE; P[i].phase = watching;
+            P[i].pending_base = NONE; P[i].phase = watching;
             P[i].seen = lease_row; P[i].watched = 0
        fi
      }
-  /* kHolding: renewal. */
+  /* kHolding: renews the lease. */
   :: atomic {
        P[i].phase == holding && platform && lease_row < LEASE_LIMIT &&
        lease_holder == i && ROW_MATCHES(lease_row, P[i].seen) ->
        lease_row++;
        P[i].seen = lease_row;
-       P[i].authority = HOLD
+       P[i].authority = LEASE_TTL
      }
-  /* kHolding: the platform is out; the only standby promises. It refuses while
-     it takes over and while it can read the row itself. */
+  /* kHolding: the platform is unavailable and the only standby promises. The
+     standby refuses while it takes over and while it can read the row. */
   :: atomic {
        P[i].phase == holding && P[i].authority > 0 && platform == 0 &&
-       P[1 - i].phase == watching && P[1 - i].lost_base == NONE &&
+       P[1 - i].phase == watching && P[1 - i].pending_base == NONE &&
        P[1 - i].seen == lease_row && lease_holder == i ->
-       P[1 - i].promised = PROMISE;
-       P[i].authority = PROMISE - 1
+       P[1 - i].promised = PROMISE_TTL;
+       P[i].authority = PROMISE_TTL - 1
      }
-  /* kHolding to kWatching: authority over, or another holder in the row. */
+  /* kHolding to kWatching: the authority has expired, or the row names another
+     holder. */
   :: atomic {
        P[i].phase == holding &&
-       ((P[i].authority == 0 && !HOLD_IGNORED) ||
+       ((P[i].authority == 0 && !AUTHORITY_IGNORED) ||
         (platform && lease_holder != i)) ->
        P[i].phase = watching;
        P[i].authority = 0;
        P[i].seen = NONE
      }
-  /* Reads the assignment and fences older writers by writing it once. */
+  /* Reads the assignment row and writes it once, which fences older writers. */
   :: atomic {
-       ACTS(i) && P[i].row == NONE && platform && assign_row < ASSIGN_LIMIT ->
+       MAY_ACT(i) && P[i].row == NONE && platform &&
+       assign_row < ASSIGN_LIMIT ->
        assign_row++;
        P[i].row = assign_row;
        P[i].owner = assign_owner;
-       P[i].moving = 1 /* a move may be unfinished: wait for older rights */
+       P[i].moving = 1 /* a move may be unfinished: older rights must end */
      }
 #if CONFIRMS > 0
   /* Reads the configuration under this lease. */
   :: atomic {
-       ACTS(i) && platform && P[i].config != config_row ->
+       MAY_ACT(i) && platform && P[i].config != config_row ->
        P[i].config = config_row;
-       P[i].fresh = 1
+       P[i].config_fresh = 1
      }
   :: atomic {
-       ACTS(i) && platform && P[i].config == config_row && P[i].fresh == 0 ->
-       P[i].fresh = 1
+       MAY_ACT(i) && platform && P[i].config == config_row &&
+       P[i].config_fresh == 0 ->
+       P[i].config_fresh = 1
      }
-  /* Publishes the configuration to an entry that may have started just now. */
+  /* Publishes the configuration to an entry that may have just started. */
   :: atomic {
-       ACTS(i) && P[i].fresh ->
-       assert(P[i].config >= published); /* versions never go back */
+       MAY_ACT(i) && P[i].config_fresh ->
+       assert(P[i].config >= published); /* versions never decrease */
        published = P[i].config
      }
 #endif
-  /* kRecording: the new owner is written before anyone acts on it. */
+  /* kRecording: the new owner is written before any process acts on it. */
   :: atomic {
-       ACTS(i) && P[i].row != NONE && P[i].moving == 0 && moves > 0 &&
-       platform && assign_row < ASSIGN_LIMIT && ROW_MATCHES(assign_row, P[i].row) ->
+       MAY_ACT(i) && P[i].row != NONE && P[i].moving == 0 && moves > 0 &&
+       platform && assign_row < ASSIGN_LIMIT &&
+       ROW_MATCHES(assign_row, P[i].row) ->
        moves--;
 #ifndef NO_RECORD_FIRST
        assign_row++;
@@ -261,20 +271,22 @@
 #endif
        P[i].owner = 1 - P[i].owner;
        P[i].moving = 1;
-       /* Its dispatchers must let go or lapse; what they sent must end. */
-       P[i].wait_lease = LEASE;
-       P[i].wait_run = LEASE + RUN
+       /* Dispatchers must release the previous owner or their leases must
+          expire, and requests that they sent must end. */
+       P[i].wait_lease = DISPATCH_LEASE_TTL;
+       P[i].wait_run = DISPATCH_LEASE_TTL + MAX_RUN
      }
-  /* The old dispatcher let go and has nothing in flight: no need to wait. */
+  /* The dispatchers have released the previous owner and have no request in
+     flight, so no wait is needed. */
   :: atomic {
-       ACTS(i) && P[i].moving && P[i].row != NONE &&
+       MAY_ACT(i) && P[i].moving && P[i].row != NONE &&
        D[0].lease == 0 && D[1].lease == 0 &&
        S[0].running == 0 && S[1].running == 0 &&
        P[i].wait_lease > 0 ->
        P[i].wait_lease = 0;
        P[i].wait_run = 0
      }
-  /* kGranting to kSettled: older rights are over; the move is told as done. */
+  /* kGranting to kStable: older rights have ended; the move is finished. */
   :: atomic {
 #ifndef NO_RELEASE_WAIT
        P[i].wait_lease == 0 &&
@@ -282,21 +294,22 @@
        P[i].wait_run == 0 &&
 #endif
 #endif
-       ACTS(i) && P[i].moving && P[i].row != NONE ->
+       MAY_ACT(i) && P[i].moving && P[i].row != NONE ->
        P[i].moving = 0;
        /* A finished assignment is not lost. */
        assert(assign_owner == P[i].owner || assign_row != P[i].row)
      }
-  /* Grants a dispatch lease for the settled owner. The dispatcher counts from
-     when it asked, so its lease is never longer than the controller thinks. */
+  /* Grants a dispatch lease for the stable owner. The dispatcher counts from
+     when it sent the request, so its lease ends no later than the controller
+     assumes. */
   :: atomic {
-       ACTS(i) && P[i].moving == 0 && P[i].row != NONE ->
+       MAY_ACT(i) && P[i].moving == 0 && P[i].row != NONE ->
        byte d;
        if :: d = 0 :: d = 1 fi;
        if
        :: D[1 - d].lease == 0 || D[1 - d].server == P[i].owner ->
             D[d].server = P[i].owner;
-            D[d].lease = LEASE
+            D[d].lease = DISPATCH_LEASE_TTL
        :: else
        fi;
        d = 0
@@ -304,14 +317,14 @@
   od
 }
 
-/* A dispatcher sends while its lease is unexpired; the server runs the request
-   for at most RUN. A server that checks the fence refuses older epochs. */
+/* A dispatcher sends while its lease is valid; the server runs the request for
+   at most MAX_RUN. A server that checks the fence rejects older epochs. */
 proctype Sender(byte d) {
   do
   :: atomic {
        D[d].lease > 0 && D[d].server != NONE &&
        (CHECKS_FENCE == 0 || D[d].server == assign_owner) ->
-       S[D[d].server].running = RUN;
+       S[D[d].server].running = MAX_RUN;
        safety()
      }
   od
--- a/src/control/assignment_system.cc
+++ b/src/control/assignment_system.cc
@@ -15,14 +15,14 @@
   return {"assignment", cell.m_name};
 }
 
-// Decisions about one cell's assignment row in one tick.
+// Handles one cell's assignment row in one tick.
 class CellAssignment {
  public:
   CellAssignment(ControlContext& context, CellId id, CellRow& cell)
       : m_context(context),
         m_tables(context.m_tables),
         m_now(context.m_now.m_steady),
-        m_id(id),
+        m_cell_id(id),
         m_cell(cell),
         m_state(cell.m_assignment) {}
 
@@ -43,7 +43,7 @@
     }
     const uint64_t epoch = m_cell.m_lease.m_record.m_epoch;
     if (m_state.m_record.m_control_epoch > epoch) {
-      // A later controller is at work; the lease system will step down.
+      // A later controller has written the row; the lease system steps down.
       m_state = AssignmentState();
       return;
     }
@@ -70,7 +70,7 @@
       return;
     }
     if (m_state.m_phase == AssignmentPhase::kReady) {
-      ReconcilePartitions(m_tables, m_id, m_cell, m_now);
+      ReconcilePartitions(m_tables, m_cell_id, m_cell, m_now);
     }
     if (m_state.m_store_call_in_flight ||
         m_now < m_state.m_next_store_call_at) {
@@ -98,7 +98,7 @@
   void Read() {
     m_state.m_store_call_in_flight = true;
     m_context.m_outbox.m_reads.push_back(
-        {RowPurpose::kAssignment, m_id, AssignmentKey(m_cell)});
+        {RowPurpose::kAssignment, m_cell_id, AssignmentKey(m_cell)});
   }
 
   void Write(AssignmentRecord record) {
@@ -108,11 +108,12 @@
     m_state.m_dirty = false;
     m_state.m_pending_record = record;
     m_context.m_outbox.m_writes.push_back(
-        {RowPurpose::kAssignment, m_id, AssignmentKey(m_cell),
+        {RowPurpose::kAssignment, m_cell_id, AssignmentKey(m_cell),
          m_state.m_row_version, std::move(record)});
   }
 
-  // The platform holds `m_record` now, whoever's write put it there.
+  // The platform holds `m_record` now, whether or not a write of this process
+  // stored it.
   void ApplyStoredRecord() {
     const uint64_t epoch = m_cell.m_lease.m_record.m_epoch;
     if (m_state.m_record.m_control_epoch != epoch) {
@@ -120,7 +121,7 @@
     }
     if (m_state.m_phase == AssignmentPhase::kUnfenced) {
       m_state.m_phase = AssignmentPhase::kReady;
-      LoadPartitions(m_tables, m_id, m_cell, m_now);
+      LoadPartitions(m_tables, m_cell_id, m_cell, m_now);
       return;
     }
     const size_t moves = ApplyAssignment(m_tables, m_cell, m_state.m_record);
@@ -172,7 +173,7 @@
   ControlContext& m_context;
   ControlTables& m_tables;
   TimePoint m_now;
-  CellId m_id;
+  CellId m_cell_id;
   CellRow& m_cell;
   AssignmentState& m_state;
 };
--- a/src/control/assignment_system.h
+++ b/src/control/assignment_system.h
@@ -4,8 +4,8 @@
 
 namespace foxtail {
 
-/// Loads the recorded owners of a cell after a takeover and records changes of
-/// owner in the platform before anyone acts on them.
+/// Loads the recorded owners of a cell after a takeover, and writes each change
+/// of owner to the platform before any process acts on it.
 class AssignmentSystem {
  public:
   /// Runs over all cells once.
--- a/src/control/config_system.cc
+++ b/src/control/config_system.cc
@@ -9,7 +9,7 @@
   return {"config", "current"};
 }
 
-// The plan that was confirmed holds the configuration.
+// The row of the confirmed plan holds the configuration document.
 RowKey DocumentKey(const VersionRecord& record) {
   return {"plan", record.m_plan};
 }
@@ -36,7 +36,8 @@
       id = tables.m_servers.Insert({});
       BackendServerRow& server = tables.m_servers.Get(id);
       server.m_cell = cell_id;
-      // The dispatchers of an earlier controller are not known yet.
+      // Dispatchers of an earlier controller are not known yet and may still
+      // send to the server.
       server.m_may_send_until =
           cell.m_predecessor_active_until +
           AddClockDrift(tables.m_settings,
@@ -70,14 +71,14 @@
 }
 
 void ReconcileWorkspaces(ControlTables& tables) {
-  const auto& wanted = tables.m_config.m_configuration.m_workspaces;
+  const auto& configured = tables.m_config.m_configuration.m_workspaces;
   tables.m_workspaces.ForEach([&](auto id, WorkspaceRow& row) {
-    if (std::ranges::find(wanted, row.m_config.m_name,
-                          &WorkspaceConfig::m_name) == wanted.end()) {
+    if (std::ranges::find(configured, row.m_config.m_name,
+                          &WorkspaceConfig::m_name) == configured.end()) {
       tables.m_workspaces.Erase(id);
     }
   });
-  for (const WorkspaceConfig& workspace : wanted) {
+  for (const WorkspaceConfig& workspace : configured) {
     auto id = tables.m_workspaces.FindIf([&](const WorkspaceRow& row) {
       return row.m_config.m_name == workspace.m_name;
     });
--- a/src/control/config_system.h
+++ b/src/control/config_system.h
@@ -4,7 +4,7 @@
 
 namespace foxtail {
 
-/// Polls the configuration in force and brings the tables into line with it.
+/// Polls the configuration in force and reconciles the tables with it.
 class ConfigSystem {
  public:
   /// Runs once over all cells, servers, partitions and workspaces.
--- a/src/control/control_messages.h
+++ b/src/control/control_messages.h
@@ -11,7 +11,7 @@
 
 namespace foxtail {
 
-/// Which state a platform row belongs to.
+/// Selects the state that a platform row belongs to.
 enum class RowPurpose {
   kLease,
   kAssignment,
@@ -19,7 +19,7 @@
   kConfigDocument,
 };
 
-/// A platform read or write that ended.
+/// Result of a platform read or write.
 struct RowResponse {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
@@ -28,7 +28,7 @@
   TimePoint m_sent_at;
 };
 
-/// A standby's answer to a request for a promise.
+/// A standby's response to a promise request, or a refusal if the call failed.
 struct PromiseResponse {
   CellId m_cell;
   ControlInstance m_standby;
@@ -37,7 +37,7 @@
   TimePoint m_sent_at;
 };
 
-/// A holder's request for a promise.
+/// A lease holder's request for a promise, as received by a standby.
 struct ReceivedPromiseRequest {
   uint64_t m_handle = 0;
   std::string m_cell;
@@ -45,7 +45,8 @@
   uint64_t m_epoch = 0;
 };
 
-/// A backend server's answer to a grant, or its absence.
+/// A backend server's response to a grant; `m_accepted` is false if the call
+/// failed.
 struct GrantResponse {
   BackendServerId m_server;
   uint64_t m_number = 0;
@@ -53,28 +54,29 @@
   std::string m_incarnation;
 };
 
-/// A backend server's answer to a probe, or its absence.
+/// A backend server's response to a probe; `m_answered` is false if the probe
+/// failed.
 struct ProbeResponse {
   BackendServerId m_server;
   bool m_answered = false;
   std::string m_incarnation;
 };
 
-/// A dispatcher's sync request.
+/// A dispatcher's sync request, as received.
 struct ReceivedSyncRequest {
   uint64_t m_handle = 0;
   SyncRequest m_request;
   TimePoint m_received_at;
 };
 
-/// An entry's request for tokens.
+/// An entry's token request, as received.
 struct ReceivedTokenRequest {
   uint64_t m_handle = 0;
   TokenRequest m_request;
   TimePoint m_received_at;
 };
 
-/// Another control process that answered.
+/// Another control process that responded.
 struct PeerResponse {
   ControlInstance m_peer;
   std::string m_data_centre;
@@ -92,14 +94,15 @@
   std::vector<PeerResponse> m_peer_responses;
 };
 
-/// Read a platform row.
+/// Reads a platform row.
 struct ReadRecordCommand {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
   RowKey m_key;
 };
 
-/// Write a platform row if it has a version.
+/// Writes a platform row if the row still has version `m_if_version` (0: if the
+/// row is missing).
 struct WriteRecordCommand {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
@@ -108,7 +111,7 @@
   RecordValue m_value;
 };
 
-/// Ask a standby not to take over.
+/// Requests a standby's promise not to take over.
 struct RequestPromiseCommand {
   CellId m_cell;
   std::string m_cell_name;
@@ -116,13 +119,13 @@
   uint64_t m_epoch = 0;
 };
 
-/// Answer a holder.
+/// Responds to a lease holder's promise request.
 struct PromiseResponseCommand {
   uint64_t m_handle = 0;
   bool m_given = false;
 };
 
-/// Send a backend server the whole list of its grants.
+/// Sends a backend server the complete list of its grants.
 struct SendGrantCommand {
   BackendServerId m_server;
   std::string m_address;
@@ -134,31 +137,31 @@
   std::map<PartitionNumber, uint64_t> m_partitions;
 };
 
-/// Probe a backend server's health.
+/// Probes the health of a backend server.
 struct SendProbeCommand {
   BackendServerId m_server;
   std::string m_address;
 };
 
-/// Answer a dispatcher.
+/// Responds to a dispatcher's sync request.
 struct SyncResponseCommand {
   uint64_t m_handle = 0;
   SyncResponse m_response;
 };
 
-/// Answer an entry's request for tokens.
+/// Responds to an entry's token request.
 struct TokenResponseCommand {
   uint64_t m_handle = 0;
   TokenResponse m_response;
 };
 
-/// Write an event.
+/// Writes an event to the log.
 struct LogEventCommand {
   EventNumber m_number = EventNumber::kInternalFailure;
   std::vector<EventField> m_fields;
 };
 
-/// Everything that a tick wants done outside.
+/// Commands of a tick, which the control loop executes after the tick.
 struct ControlOutbox {
   std::vector<ReadRecordCommand> m_reads;
   std::vector<WriteRecordCommand> m_writes;
@@ -171,7 +174,7 @@
   std::vector<LogEventCommand> m_events;
 };
 
-/// What each system of a tick works on.
+/// State and messages that the systems of a tick read and write.
 struct ControlContext {
   ControlTables& m_tables;
   const ControlInbox& m_inbox;
--- a/src/control/control_settings.h
+++ b/src/control/control_settings.h
@@ -7,89 +7,96 @@
 
 /// Times and limits of the control systems.
 struct ControlSettings {
-  /// Time a holder may act after it sent a renewal that succeeded.
+  /// TTL of the control lease, counted from when the holder sent a renewal that
+  /// succeeded.
   std::chrono::milliseconds m_lease_ttl{700};
 
-  /// Time a standby must see the lease row unchanged before it takes over;
-  /// longer than `m_lease_ttl` by more than the clocks' drift in it.
+  /// Time for which a standby must see the lease row unchanged before it takes
+  /// over. Must exceed `m_lease_ttl` by more than the clock drift over that
+  /// time.
   std::chrono::milliseconds m_takeover_delay{740};
 
-  /// Time between renewals.
+  /// Period between renewals of the control lease.
   std::chrono::milliseconds m_lease_renew_period{230};
 
-  /// Time between the first standby's reads of the lease row; the next ones
-  /// read it less often.
+  /// Period between the first standby's reads of the lease row. Standbys
+  /// further down the list read the row less often.
   std::chrono::milliseconds m_watch_period{150};
 
-  /// Time between reads of the lease row by processes that are no standbys.
+  /// Period between reads of the lease row by processes that are not standbys.
   std::chrono::milliseconds m_non_standby_watch_period{1000};
 
-  /// Longest time a holder goes on with promises instead of renewals. A process
-  /// that is no standby waits this long before it takes over.
+  /// Maximum time for which promises may replace renewals. A process that is
+  /// not a standby waits this long before it takes over.
   std::chrono::milliseconds m_extension_limit{3'600'000};
 
-  /// Life of one promise.
+  /// TTL of a promise.
   std::chrono::milliseconds m_promise_ttl{1000};
 
-  /// Standbys named in the lease row.
+  /// Maximum number of standbys named in the lease row.
   uint32_t m_standby_count = 2;
 
-  /// Life of a dispatch lease, counted from when it was granted.
+  /// TTL of a dispatch lease, counted from when the lease was granted.
   std::chrono::milliseconds m_dispatch_lease_ttl{1200};
 
-  /// Longest time a dispatch lease outlasts its controller's authority.
+  /// Maximum time by which a dispatch lease outlasts its controller's
+  /// authority.
   std::chrono::milliseconds m_max_dispatch_lease_overrun{700};
 
-  /// Longest time a sync request waits for news.
+  /// Maximum time for which a sync request waits for a change.
   std::chrono::milliseconds m_sync_poll_timeout{200};
 
-  /// A dispatcher that was silent for longer is replaced.
+  /// A dispatcher that was silent for longer than this time is replaced.
   std::chrono::milliseconds m_dispatcher_silence_timeout{350};
 
-  /// Life of a grant at a backend server.
+  /// TTL of a grant at a backend server.
   std::chrono::milliseconds m_grant_ttl{1000};
 
-  /// Time between renewals of a grant.
+  /// Period between renewals of a grant.
   std::chrono::milliseconds m_grant_renew_period{300};
 
-  /// Time between probes of a backend server.
+  /// Period between probes of a backend server.
   std::chrono::milliseconds m_probe_period{200};
 
-  /// Failed probes in a row after which a backend server counts as lost.
+  /// Consecutive failed probes after which a backend server counts as lost.
   uint32_t m_max_probe_failures = 3;
 
-  /// Time between reads of the configuration's version.
+  /// Period between reads of the configuration version.
   std::chrono::milliseconds m_config_poll_period{500};
 
-  /// Largest difference between the rates of two hosts' steady clocks, as a
+  /// Maximum difference between the rates of two hosts' steady clocks, as a
   /// fraction.
   double m_clock_drift = 0.01;
 
-  /// Largest difference between two hosts' wall clocks.
+  /// Maximum difference between two hosts' wall clocks.
   std::chrono::milliseconds m_wall_skew{50};
 
-  /// How far ahead of an entry's wall clock a request id may be issued.
+  /// Maximum time by which a request id may be issued ahead of an entry's wall
+  /// clock.
   std::chrono::milliseconds m_id_ahead{250};
 
-  /// Life of tokens that were handed out.
+  /// TTL of issued tokens.
   std::chrono::milliseconds m_token_ttl{1000};
 
-  /// How long request ids and crash suspects are remembered.
+  /// Retention time of request ids and crash suspects.
   std::chrono::milliseconds m_retention{60'000};
 
-  /// Crashes with no other request in flight that condemn a request.
+  /// Number of crashes with no other request in flight after which a request is
+  /// quarantined.
   uint32_t m_quarantine_crashes = 2;
 
-  /// Moves that one receiving server may have in progress.
+  /// Maximum number of planned moves in progress to one receiving server.
   uint32_t m_max_moves_per_receiver = 4;
 
-  /// Load of a server relative to the mean that makes it give up a partition.
+  /// Ratio of a server's load to the mean above which the server releases a
+  /// partition.
   double m_overload_ratio = 1.3;
 
-  /// Shortest time between two load-driven moves of a cell.
+  /// Minimum time between two load-driven moves in a cell.
   std::chrono::milliseconds m_rebalance_period{1000};
 
-  /// Shortest time a partition stays before it moves again for load.
+  /// Minimum time that a partition stays with its owner before a load-driven
+  /// move.
   std::chrono::milliseconds m_move_cooldown{10'000};
 };
 
--- a/src/control/control_tables.h
+++ b/src/control/control_tables.h
@@ -33,45 +33,48 @@
   TimePoint m_last_seen_at;
 };
 
-/// State of this process with regard to the control lease of a cell. The model
+/// Phase of this process with regard to the control lease of a cell. The model
 /// in model/control.pml uses the same names.
 enum class LeasePhase {
-  /// Another process holds the lease, or nobody does.
+  /// Another process holds the lease, or the lease is vacant.
   kWatching,
-  /// A takeover was written and its outcome is not known yet.
+  /// This process takes over; the outcome of the write is not known yet.
   kAcquiring,
   /// This process holds the lease.
   kHolding,
-  /// This process gives the lease back.
+  /// This process releases the lease.
   kReleasing,
 };
 
-/// The control lease of a cell as this process sees it.
+/// The control lease of a cell as this process last observed it.
 struct LeaseState {
   LeasePhase m_phase = LeasePhase::kWatching;
 
-  /// Row as last read or written, and the version of the platform's row.
+  /// Record as last read or written, and the version of the platform row.
   LeaseRecord m_record;
   uint64_t m_row_version = 0;
   bool m_row_loaded = false;
 
-  /// When the row was first seen as it is.
+  /// When this process first saw the present row version.
   TimePoint m_unchanged_since;
 
-  /// Whether the last read of the row was answered.
+  /// Whether the last read or write of the row received a response.
   bool m_platform_responds = false;
 
-  /// A read or write is on its way.
+  /// A read or write of the row is in flight.
   bool m_store_call_in_flight = false;
   TimePoint m_read_sent_at;
   TimePoint m_next_store_call_at;
 
-  /// The record that was written without an answer, and when it was sent.
+  /// The record of the last write, and when that write was sent.
   LeaseRecord m_pending_record;
   TimePoint m_pending_sent_at;
 
-  /// Row version that the pending write requires.
+  /// Row version that the last write requires.
   uint64_t m_pending_base_version = 0;
+
+  /// The last write received no response or a conflict; the row must be read
+  /// again.
   bool m_write_outcome_unknown = false;
 
   /// The holder acts only before this time.
@@ -80,25 +83,30 @@
   /// When the last confirmed renewal was sent.
   TimePoint m_confirmed_at;
 
-  /// Standbys that might take over, and until when each promised not to.
+  /// Standbys that might take over, and until when each promised not to take
+  /// over.
   std::map<ControlInstance, TimePoint> m_promises;
   TimePoint m_next_promise_round_at;
+
+  /// Promises extend the authority beyond the last confirmed renewal.
   bool m_extended = false;
 
-  /// As a standby: until when this process promised not to take over.
+  /// Until when this process, as a standby, promised not to take over.
   TimePoint m_promised_until;
 };
 
 /// Progress of the assignment row of a cell.
 enum class AssignmentPhase {
-  /// Not read since the lease was taken.
+  /// The row was not read since the lease was acquired.
   kUnread,
-  /// Read; must be written once under this controller's epoch.
+  /// The row was read and must be written once under this controller's epoch.
   kUnfenced,
+  /// The row is fenced by this controller's epoch, and the partitions are
+  /// loaded.
   kReady,
 };
 
-/// The assignment row as this process sees it.
+/// The assignment row of a cell as this process last observed it.
 struct AssignmentState {
   AssignmentPhase m_phase = AssignmentPhase::kUnread;
   AssignmentRecord m_record;
@@ -108,15 +116,16 @@
   AssignmentRecord m_pending_record;
   bool m_store_call_in_flight = false;
 
-  /// The last write was not answered: the row must be read again.
+  /// The last write received no response or a conflict; the row must be read
+  /// again.
   bool m_write_outcome_unknown = false;
 
-  /// Rows changed in a way that should be recorded without haste.
+  /// Partition rows changed in a way that is recorded with low urgency.
   bool m_dirty = false;
   TimePoint m_next_store_call_at;
 };
 
-/// A sync request that waits for news.
+/// A sync request that waits for a change (long poll).
 struct PendingSync {
   uint64_t m_handle = 0;
   DispatcherId m_dispatcher;
@@ -125,6 +134,8 @@
   uint64_t m_routes_version = 0;
   uint64_t m_routes_epoch = 0;
   uint64_t m_access_version = 0;
+
+  /// The dispatcher sent a newer request, so this one is due at once.
   bool m_superseded = false;
 };
 
@@ -136,7 +147,8 @@
   bool m_removed = false;
   ServiceConfig m_service;
 
-  /// The service as far as the partition rows follow it; routes are made of it.
+  /// The service with which the partition rows were last reconciled. Routes are
+  /// built from this copy.
   ServiceConfig m_routed_service;
   LeaseState m_lease;
   AssignmentState m_assignment;
@@ -144,14 +156,16 @@
   std::map<PartitionNumber, PartitionId> m_partitions;
   std::vector<PendingSync> m_pending_syncs;
 
-  /// Routes as last published, and whether rows changed since.
+  /// Routes as last built, and whether rows changed since.
   std::shared_ptr<const CellRoutes> m_routes;
   uint64_t m_routes_version = 0;
   bool m_routes_dirty = true;
+
+  /// Number of the newest sync response under the present lease.
   uint64_t m_last_response_number = 0;
   TimePoint m_taken_over_at;
 
-  /// The controller before acted on nothing after this time.
+  /// The previous controller took no action after this time.
   TimePoint m_predecessor_active_until;
   TimePoint m_next_rebalance_at;
 
@@ -163,65 +177,77 @@
   CellId m_cell;
   BackendServerConfig m_config;
 
-  /// Set when the configuration no longer has it.
+  /// Set when the configuration no longer has the server.
   bool m_removed = false;
 
-  /// Takes work according to the configuration.
+  /// The configuration lets the server receive requests.
   bool m_serving = true;
 
+  /// The server responds to probes.
   bool m_up = false;
 
-  /// A probe was answered or failed since the lease was taken.
+  /// At least one probe was answered or failed.
   bool m_probed = false;
   bool m_probe_in_flight = false;
   TimePoint m_next_probe_at;
   uint32_t m_probe_failures = 0;
 
-  /// Id of the server's run, from its answers.
+  /// Id of the server's incarnation, from its probe responses.
   std::string m_incarnation;
 
-  /// The only dispatcher that may send to it.
+  /// The only dispatcher that may send to the server.
   DispatcherId m_dispatcher;
 
-  /// The dispatcher is being replaced and must let go first.
+  /// The dispatcher is being replaced and must release the server first.
   bool m_dispatcher_releasing = false;
 
-  /// Response number from which the leaving dispatcher has no lease.
+  /// Number of the first sync response that no longer lists the server for the
+  /// replaced dispatcher.
   uint64_t m_dispatcher_removed_in_response = 0;
 
-  /// The dispatcher's lease has lapsed after this time.
+  /// The dispatcher's lease has expired after this time; unset until the
+  /// first response that grants the lease.
   TimePoint m_dispatch_lease_until;
 
-  /// Until then a lost or unknown dispatcher may still send.
+  /// A lost or unknown dispatcher may send requests until this time.
   TimePoint m_may_send_until;
 
-  /// Until then a request of such a dispatcher may still run.
+  /// A request from such a dispatcher may run until this time.
   TimePoint m_may_run_until;
 
-  /// Grants that may be in force, unless unknown; and the confirmed list.
+  /// Grants that may be in force; valid only if `m_possible_grants_known`.
   std::set<PartitionNumber> m_possible_grants;
   bool m_possible_grants_known = false;
+
+  /// Epochs by partition of the last confirmed grant, and of the grant sent
+  /// last.
   std::map<PartitionNumber, uint64_t> m_confirmed_grants;
   std::map<PartitionNumber, uint64_t> m_pending_grants;
   uint64_t m_last_grant_number = 0;
   bool m_grant_in_flight = false;
   bool m_grant_due = false;
   TimePoint m_next_grant_at;
+
+  /// No grant sent so far, by this controller or a predecessor, is in force
+  /// after this time.
   TimePoint m_grants_valid_until;
 
-  /// Requests in flight and answered a second, from dispatchers' reports.
+  /// Requests in flight and queued, from the dispatchers' reports.
   uint32_t m_in_flight = 0;
   uint32_t m_queued = 0;
 };
 
 /// Progress of a partition's change of owner.
 enum class MovePhase {
+  /// The owner may receive requests; no move is in progress.
   kStable,
   /// The new owner is being written to the platform.
   kRecording,
-  /// The old owner's dispatcher must let go, or its lease must lapse.
+  /// The previous owner's dispatcher must release the partition, or its lease
+  /// must expire.
   kReleasing,
-  /// The old owner must confirm the end of its grant, or it must lapse.
+  /// The previous owner must confirm the end of its grant, or the grant must
+  /// expire.
   kRevoking,
   /// The new owner must confirm its grant.
   kGranting,
@@ -235,35 +261,36 @@
   uint64_t m_epoch = 0;
   MovePhase m_phase = MovePhase::kStable;
 
-  /// While recording: the owner being written.
+  /// While recording: the new owner that is being written.
   BackendServerId m_target;
 
-  /// While releasing or revoking: the owner before.
+  /// While releasing or revoking: the previous owner.
   BackendServerId m_previous_owner;
   TimePoint m_move_started_at;
 
-  /// Routes version in which it was first held or absent.
+  /// Routes version in which the partition was first paused or absent.
   uint64_t m_paused_in_routes_version = 0;
 
-  /// Partitions whose old right must end first (a pinned key leaves or joins
-  /// its hash range).
+  /// Partitions whose previous right must end first, because a pinned key
+  /// leaves or joins its hash range.
   std::vector<PartitionId> m_blockers;
 
-  /// The pinned key is gone: erase the row once its right has ended.
+  /// The configuration no longer has the pinned key; the row is erased once the
+  /// previous owner's right has ended.
   bool m_retiring = false;
 
-  /// Name of the server a pinned key must be on.
+  /// Name of the server that must own the pinned key; empty for a hash range.
   std::string m_pinned_to;
 
-  /// The platform's row still names the previous owner.
+  /// The assignment row in the platform still names the previous owner.
   bool m_previous_owner_recorded = false;
 
-  /// Requests a second, smoothed.
+  /// Exponentially averaged requests per second.
   double m_load = 0;
   TimePoint m_stable_since;
 };
 
-/// A dispatcher: one traffic thread of an entry, as known to one cell.
+/// A dispatcher (one traffic thread of an entry) as one cell sees it.
 struct DispatcherRow {
   CellId m_cell;
   DispatcherName m_identity;
@@ -271,8 +298,8 @@
 
   TimePoint m_last_sync_at;
 
-  /// When it last showed that it acts on a newer answer. A dispatcher whose
-  /// requests arrive while answers to it are lost is no use.
+  /// When the dispatcher last acknowledged a newer sync response. A dispatcher
+  /// whose requests arrive but whose responses are lost must be replaced.
   TimePoint m_last_acknowledged_at;
   TimePoint m_last_load_at;
   uint64_t m_control_epoch = 0;
@@ -289,14 +316,14 @@
   WorkspaceConfig m_config;
 };
 
-/// What a dispatcher handed over with a partition.
+/// Deduplication state that a dispatcher handed over with a partition.
 struct DedupStateRow {
   CellId m_cell;
   PartitionMemory m_dedup_state;
   TimePoint m_retained_until;
 };
 
-/// Crashes connected with a request fingerprint.
+/// Crashes associated with a request fingerprint.
 struct CrashRow {
   CellId m_cell;
   CrashSuspect m_suspect;
@@ -315,7 +342,7 @@
   /// Version whose document is being read.
   uint64_t m_reading_version = 0;
 
-  /// When the newest answered poll was sent.
+  /// When the newest poll that received a response was sent.
   TimePoint m_last_poll_sent_at;
 };
 
@@ -344,14 +371,17 @@
 /// Returns whether this process may act for the cell at `now`.
 bool HoldsAuthority(const CellRow& cell, TimePoint now);
 
-/// Returns whether this process may act for the cell and knows its assignment.
+/// Returns whether this process may act for the cell and has loaded the cell's
+/// assignment.
 bool CanDecide(const CellRow& cell, TimePoint now);
 
-/// Returns whether the configuration was read under the cell's present lease,
-/// so that it is no older than what an earlier controller published.
+/// Returns whether the configuration was read under the cell's present lease.
+/// Such a configuration is no older than any that an earlier controller
+/// published.
 bool ConfigIsFresh(const ControlTables& tables, const CellRow& cell);
 
-/// Adds the clocks' drift to a duration measured by another host.
+/// Returns a duration measured by another host's clock, extended by the maximum
+/// clock drift.
 Duration AddClockDrift(const ControlSettings& settings, Duration duration);
 
 }  // namespace foxtail
--- a/src/control/control_tick.h
+++ b/src/control/control_tick.h
@@ -18,14 +18,15 @@
 
 namespace foxtail {
 
-/// The update of the control state: every decision of the control thread, in
-/// one order. It does no input or output and reads no clock.
+/// Updates the control state: runs the systems that make all decisions of the
+/// control thread, in a fixed order. A tick performs no input or output and
+/// reads no clock.
 class ControlTick {
  public:
   /// `placement` chooses the owners of partitions.
   explicit ControlTick(std::unique_ptr<PlacementStrategy> placement);
 
-  /// Runs all phases once over the tables.
+  /// Runs all systems once over the tables.
   void Run(ControlTables& tables,
            const ControlInbox& inbox,
            ControlOutbox& outbox,
--- a/src/control/crash_system.cc
+++ b/src/control/crash_system.cc
@@ -18,7 +18,7 @@
   return tables.m_crashes.Get(id);
 }
 
-// A condemned request stays condemned until its time is over.
+// A quarantined request stays quarantined until its retention time is over.
 void ClearSuspect(ControlTables& tables, CellId cell_id, uint64_t fingerprint) {
   tables.m_crashes.ForEach([&](auto id, const CrashRow& row) {
     if (row.m_cell == cell_id && !row.m_quarantined &&
--- a/src/control/crash_system.h
+++ b/src/control/crash_system.h
@@ -4,11 +4,12 @@
 
 namespace foxtail {
 
-/// Collects over all dispatchers of a cell which requests were in flight when
-/// backend servers crashed, and condemns those that crashed servers alone.
+/// Collects from all dispatchers of a cell which requests were in flight when
+/// backend servers crashed, and quarantines requests that repeatedly crashed a
+/// server while no other request was in flight.
 class CrashSystem {
  public:
-  /// Takes in reports and drops old rows.
+  /// Applies reports and erases expired rows.
   void Run(ControlContext& context);
 };
 
--- a/src/control/dispatcher_system.cc
+++ b/src/control/dispatcher_system.cc
@@ -9,12 +9,13 @@
 
 using std::chrono::milliseconds;
 
-// A cell waits this long for dispatchers to report before it appoints any, so
-// that the first to report does not receive every server.
+// After a takeover, a cell waits this long for reports before it appoints
+// dispatchers. Otherwise the first dispatcher to report would receive every
+// server.
 constexpr milliseconds kReportGracePeriod{100};
 constexpr milliseconds kDispatcherRetention{5000};
 
-// Time over which loads are averaged.
+// Time constant of the exponential average of partition loads.
 constexpr milliseconds kLoadAveragingTime{2000};
 
 DispatcherId FindOrAddDispatcher(ControlTables& tables,
@@ -42,21 +43,21 @@
              : record.m_holder.m_address;
 }
 
-// Decisions about the dispatchers of one cell in one tick.
+// Handles the dispatchers of one cell in one tick.
 class CellDispatchers {
  public:
   CellDispatchers(ControlContext& context, CellId id, CellRow& cell)
       : m_context(context),
         m_tables(context.m_tables),
         m_now(context.m_now.m_steady),
-        m_id(id),
+        m_cell_id(id),
         m_cell(cell) {}
 
   void ApplyReport(const ReceivedSyncRequest& received) {
     const SyncRequest& request = received.m_request;
     bool was_known = true;
     const DispatcherId id =
-        FindOrAddDispatcher(m_tables, m_id, request, was_known);
+        FindOrAddDispatcher(m_tables, m_cell_id, request, was_known);
     DispatcherRow& row = m_tables.m_dispatchers.Get(id);
     row.m_data_centre = request.m_data_centre;
     row.m_last_sync_at = std::max(row.m_last_sync_at, received.m_received_at);
@@ -65,14 +66,15 @@
       row.m_last_acknowledged_at = m_now;
     }
     if (request.m_control_epoch == m_cell.m_lease.m_record.m_epoch) {
-      Acknowledge(row, request);
+      RecordAcknowledgement(row, request);
     }
     row.m_config_version = request.m_config_version;
     AdoptHeldServers(id, request);
     RecordLoads(row, received);
     RecordServers(request);
-    // After a lapse another dispatcher may have seen ids that the memories of
-    // this one lack.
+    // A dispatcher that was unknown may have lost its lease in between. Another
+    // dispatcher may then have accepted request ids that this deduplication
+    // state lacks.
     if (was_known) {
       StoreDedupStates(request);
     }
@@ -93,8 +95,9 @@
   }
 
  private:
-  // A report may be older than one already taken in when two were on the way.
-  void Acknowledge(DispatcherRow& row, const SyncRequest& request) {
+  // Two reports of one dispatcher may arrive out of order; an older report is
+  // ignored.
+  void RecordAcknowledgement(DispatcherRow& row, const SyncRequest& request) {
     const bool same_epoch = row.m_control_epoch == request.m_control_epoch;
     if (same_epoch && request.m_applied_number < row.m_applied_number) {
       return;
@@ -113,7 +116,8 @@
                               request.m_draining_servers.end()};
   }
 
-  // After a takeover the dispatchers tell what they hold and keep it.
+  // After a takeover, dispatchers report the servers that they hold and keep
+  // them.
   void AdoptHeldServers(DispatcherId id, const SyncRequest& request) {
     for (const std::string& name : request.m_held_servers) {
       const auto found = m_cell.m_servers.find(name);
@@ -130,7 +134,8 @@
     }
   }
 
-  // Partitions that are not among the busiest reported count as idle.
+  // Reports list only the partitions with the highest load; all others count as
+  // idle.
   void RecordLoads(DispatcherRow& row, const ReceivedSyncRequest& received) {
     const Duration elapsed = received.m_received_at - row.m_last_load_at;
     const bool is_first = row.m_last_load_at == TimePoint();
@@ -175,20 +180,20 @@
     for (const PartitionMemory& dedup_state : request.m_memories) {
       EraseDedupState(dedup_state.m_number);
       m_tables.m_dedup_states.Insert(
-          {m_id, dedup_state, m_now + m_tables.m_settings.m_retention});
+          {m_cell_id, dedup_state, m_now + m_tables.m_settings.m_retention});
     }
   }
 
   void EraseDedupState(PartitionNumber number) {
     m_tables.m_dedup_states.ForEach([&](auto id, const DedupStateRow& row) {
-      if (row.m_cell == m_id && row.m_dedup_state.m_number == number) {
+      if (row.m_cell == m_cell_id && row.m_dedup_state.m_number == number) {
         m_tables.m_dedup_states.Erase(id);
       }
     });
   }
 
   void QueueSync(DispatcherId id, const ReceivedSyncRequest& received) {
-    // A newer request of the same dispatcher releases the older ones.
+    // A newer request of the same dispatcher completes the older ones.
     for (PendingSync& pending : m_cell.m_pending_syncs) {
       if (pending.m_dispatcher == id) {
         pending.m_superseded = true;
@@ -220,7 +225,8 @@
           const bool has_pending_sync = std::ranges::any_of(
               m_cell.m_pending_syncs,
               [&](const auto& sync) { return sync.m_dispatcher == id; });
-          if (row.m_cell == m_id && !has_pending_sync && ServerCount(id) == 0 &&
+          if (row.m_cell == m_cell_id && !has_pending_sync &&
+              ServerCount(id) == 0 &&
               m_now > row.m_last_sync_at + kDispatcherRetention) {
             m_tables.m_dispatchers.Erase(id);
           }
@@ -244,7 +250,8 @@
     EraseDedupStatesOf(server_id);
   }
 
-  // The lapsed dispatcher may have seen request ids that nobody else knows.
+  // A dispatcher whose lease expired may have accepted request ids that no
+  // reported state contains.
   void EraseDedupStatesOf(BackendServerId server_id) {
     for (const auto& [number, partition_id] : m_cell.m_partitions) {
       const PartitionRow& partition = m_tables.m_partitions.Get(partition_id);
@@ -278,7 +285,7 @@
 
   bool IsLive(const DispatcherRow& row) const {
     const Duration timeout = m_tables.m_settings.m_dispatcher_silence_timeout;
-    return row.m_cell == m_id && !row.m_shutting_down &&
+    return row.m_cell == m_cell_id && !row.m_shutting_down &&
            m_now - row.m_last_sync_at <= timeout &&
            m_now - row.m_last_acknowledged_at <= timeout;
   }
@@ -290,7 +297,8 @@
     return found == all.end() || found->m_state == ServingState::kServing;
   }
 
-  // Servers per dispatcher; counted once a tick and kept up with changes.
+  // Counts servers per dispatcher once; later changes in the tick update the
+  // counts.
   void CountServersPerDispatcher() {
     m_server_counts.clear();
     for (const auto& [name, id] : m_cell.m_servers) {
@@ -306,8 +314,8 @@
     return found == m_server_counts.end() ? 0 : found->second;
   }
 
-  // Prefers a dispatcher in a serving data centre, then in that of the server,
-  // then the one with the fewest servers.
+  // Prefers a dispatcher in a serving data centre, then one in the server's
+  // data centre, then the one with the fewest servers.
   using Cost = std::tuple<bool, bool, size_t>;
   DispatcherId ChooseDispatcher(const BackendServerRow& server) const {
     DispatcherId best;
@@ -343,7 +351,7 @@
       ++m_server_counts[chosen];
       server.m_dispatcher_releasing = false;
       server.m_dispatcher_removed_in_response = 0;
-      // Counts from the answer that first tells the dispatcher.
+      // The lease begins with the first response that lists the server.
       server.m_dispatch_lease_until = TimePoint();
       m_cell.m_routes_dirty = true;
       LogDispatcherEvent(EventNumber::kDispatcherAppointed, name,
@@ -371,12 +379,13 @@
       return;
     }
     server.m_dispatcher_releasing = true;
-    // The next response no longer lists the server.
+    // From the next response on, the server is not listed.
     server.m_dispatcher_removed_in_response = m_cell.m_last_response_number + 1;
     m_cell.m_routes_dirty = true;
   }
 
-  // Moves one server a tick from a dispatcher with two more than another.
+  // Moves at most one server per tick: to a dispatcher in the server's data
+  // centre, or from a dispatcher that has at least two servers more.
   void BalanceServers() {
     for (const auto& [name, server_id] : m_cell.m_servers) {
       if (m_tables.m_servers.Get(server_id).m_dispatcher_releasing) {
@@ -421,7 +430,7 @@
   ControlContext& m_context;
   ControlTables& m_tables;
   TimePoint m_now;
-  CellId m_id;
+  CellId m_cell_id;
   CellRow& m_cell;
   std::map<DispatcherId, size_t> m_server_counts;
 };
--- a/src/control/dispatcher_system.h
+++ b/src/control/dispatcher_system.h
@@ -4,8 +4,8 @@
 
 namespace foxtail {
 
-/// Takes in dispatchers' reports, notices lapsed ones, and gives each backend
-/// server exactly one dispatcher.
+/// Applies dispatchers' reports, expires dispatch leases, and appoints at most
+/// one dispatcher for each backend server.
 class DispatcherSystem {
  public:
   /// Runs over all cells once.
--- a/src/control/grant_system.cc
+++ b/src/control/grant_system.cc
@@ -23,8 +23,9 @@
   }
 }
 
-// The partitions that a server may serve: those it owns, and those it hands
-// over until its dispatcher has let go.
+// Returns the partitions that a server may serve, with their epochs: those that
+// the server owns, and those that it hands over until its dispatcher has
+// released them.
 std::map<PartitionNumber, uint64_t> PartitionsToGrant(
     const ControlTables& tables,
     const CellRow& cell,
@@ -65,8 +66,8 @@
   server.m_grant_in_flight = true;
   server.m_grant_due = false;
   server.m_next_grant_at = now + settings.m_grant_renew_period;
-  // The message carries its end in wall time, so a copy that is delivered late
-  // extends nothing.
+  // The grant carries its expiry in wall time, so a copy that is delivered late
+  // does not extend the grant.
   server.m_grants_valid_until = now +
                                 AddClockDrift(settings, settings.m_grant_ttl) +
                                 2 * settings.m_wall_skew;
@@ -83,8 +84,8 @@
   }
   tables.m_servers.ForEach([&](BackendServerId id, BackendServerRow& server) {
     const CellRow& cell = tables.m_cells.Get(server.m_cell);
-    // A server that missed a probe gets nothing, so that its grants run out
-    // no later than they must.
+    // A server that missed a probe receives no renewal, so that its grants
+    // expire as early as possible if the server is lost.
     const bool unresponsive = !server.m_up || server.m_probe_failures > 0;
     if (!CanDecide(cell, now) || !cell.m_service.m_checks_fence ||
         unresponsive || server.m_grant_in_flight ||
--- a/src/control/grant_system.h
+++ b/src/control/grant_system.h
@@ -4,7 +4,7 @@
 
 namespace foxtail {
 
-/// Keeps the fenced grants of backend servers that check them in force.
+/// Sends and renews grants to the backend servers that check fencing epochs.
 class GrantSystem {
  public:
   /// Runs over all servers once.
--- a/src/control/handover_system.cc
+++ b/src/control/handover_system.cc
@@ -6,7 +6,7 @@
 namespace foxtail {
 namespace {
 
-// One step of a partition's move; each phase has its own.
+// Advances a partition's move; each phase has its own step.
 class PartitionHandover {
  public:
   PartitionHandover(ControlContext& context,
@@ -17,7 +17,7 @@
         m_tables(context.m_tables),
         m_now(context.m_now.m_steady),
         m_cell(cell),
-        m_id(id),
+        m_partition_id(id),
         m_partition(partition) {}
 
   void Advance() {
@@ -53,9 +53,12 @@
     });
   }
 
-  // The previous owner's dispatcher acts on routes without the partition and
-  // has nothing in flight for it; or every dispatcher that might not know has
-  // lost its lease, and with it the requests it may have sent.
+  // Returns whether no dispatcher sends requests for the partition to the
+  // previous owner. Either the previous owner's dispatcher has acknowledged
+  // routes in which the partition is paused or absent and has no request for
+  // the partition in flight, or the leases of all dispatchers that might not
+  // have these routes have expired. Without a fence check, requests that an
+  // expired dispatcher sent must have ended, too.
   bool DispatcherReleased() const {
     const BackendServerRow* server =
         m_tables.m_servers.Find(m_partition.m_previous_owner);
@@ -96,7 +99,7 @@
     m_cell.m_assignment.m_dirty = true;
     if (m_partition.m_retiring) {
       m_cell.m_partitions.erase(m_partition.m_number);
-      m_tables.m_partitions.Erase(m_id);
+      m_tables.m_partitions.Erase(m_partition_id);
       return;
     }
     m_partition.m_phase = MovePhase::kGranting;
@@ -132,7 +135,8 @@
           {"milliseconds", elapsed.count()}}});
   }
 
-  // A partition that never had an owner has no request ids to be unsure of.
+  // A partition that never had an owner has accepted no requests, so its
+  // deduplication state is empty and complete.
   void AddEmptyDedupState() {
     PartitionMemory dedup_state;
     dedup_state.m_number = m_partition.m_number;
@@ -150,11 +154,12 @@
   ControlTables& m_tables;
   TimePoint m_now;
   CellRow& m_cell;
-  PartitionId m_id;
+  PartitionId m_partition_id;
   PartitionRow& m_partition;
 };
 
-// Servers that the configuration dropped go once nothing refers to them.
+// Erases servers that the configuration no longer has once no partition refers
+// to them and no call to them is in flight.
 void EraseUnusedServers(ControlTables& tables, CellRow& cell) {
   std::erase_if(cell.m_servers, [&](const auto& entry) {
     const BackendServerRow& server = tables.m_servers.Get(entry.second);
--- a/src/control/handover_system.h
+++ b/src/control/handover_system.h
@@ -4,8 +4,8 @@
 
 namespace foxtail {
 
-/// Carries each recorded change of owner to its end: the old owner's rights
-/// have ended before the new owner may receive requests.
+/// Completes each recorded change of owner. The new owner receives requests
+/// only after the previous owner's rights have ended.
 class HandoverSystem {
  public:
   /// Runs over all partitions once.
--- a/src/control/lease_system.cc
+++ b/src/control/lease_system.cc
@@ -9,13 +9,13 @@
 
 using std::chrono::milliseconds;
 
-// A process that is not the first choice for a vacant cell lets the others
-// try first, so that cells spread over the hosts.
+// Delay per rendezvous rank before a process acquires a vacant lease, so that
+// cells spread over the hosts.
 constexpr milliseconds kRankDelay{150};
 constexpr milliseconds kPeerDiscoveryTime{1000};
 constexpr milliseconds kRetryDelay{50};
 
-// A read that takes longer counts as unanswered when a promise is asked for.
+// A read in flight for longer counts as failed when a promise is requested.
 constexpr milliseconds kReadTimeout{100};
 
 RowKey LeaseKey(const CellRow& cell) {
@@ -26,7 +26,7 @@
   return std::ranges::find(record.m_standbys, self) != record.m_standbys.end();
 }
 
-// Decisions about one cell's lease in one tick.
+// Handles one cell's lease in one tick.
 class CellLease {
  public:
   CellLease(ControlContext& context, CellId id, CellRow& cell)
@@ -34,7 +34,7 @@
         m_tables(context.m_tables),
         m_settings(context.m_tables.m_settings),
         m_now(context.m_now.m_steady),
-        m_id(id),
+        m_cell_id(id),
         m_cell(cell),
         m_lease(cell.m_lease) {}
 
@@ -66,8 +66,8 @@
     }
     m_lease.m_platform_responds = true;
     if (response.m_result.m_outcome == RowOutcome::kMismatch) {
-      // Either another process was first or an earlier write of ours that went
-      // unanswered took effect; the row tells.
+      // Either another process wrote the row first, or an earlier write of this
+      // process took effect without a response. The next read resolves this.
       m_lease.m_write_outcome_unknown = true;
       m_lease.m_next_store_call_at = m_now;
       return;
@@ -85,22 +85,23 @@
         standby == m_lease.m_promises.end()) {
       return;
     }
-    // The standby counts from when it answered, which is later.
+    // Counting from when the request was sent is safe, because the standby
+    // counts from when it responded.
     const Duration ttl = m_settings.m_promise_ttl;
     standby->second = std::max(
         standby->second,
         response.m_sent_at + std::chrono::duration_cast<Duration>(
                                  ttl * (1.0 - m_settings.m_clock_drift)));
-    Extend();
+    ExtendAuthority();
   }
 
   // A standby gives a promise only while it cannot read the platform itself and
-  // has no takeover under way, which might still take effect.
+  // has no takeover in flight, which might still take effect.
   void OnPromiseRequested(const ReceivedPromiseRequest& received) {
-    const bool read_late = m_lease.m_store_call_in_flight &&
-                           m_now - m_lease.m_read_sent_at > kReadTimeout;
+    const bool read_overdue = m_lease.m_store_call_in_flight &&
+                              m_now - m_lease.m_read_sent_at > kReadTimeout;
     const bool given = m_lease.m_phase == LeasePhase::kWatching &&
-                       (!m_lease.m_platform_responds || read_late) &&
+                       (!m_lease.m_platform_responds || read_overdue) &&
                        m_lease.m_row_loaded &&
                        m_lease.m_record.m_holder == received.m_holder &&
                        m_lease.m_record.m_epoch == received.m_epoch;
@@ -137,21 +138,22 @@
     m_lease.m_record = record ? *record : LeaseRecord();
   }
 
-  bool RowIsOurs() const {
+  bool RowNamesThisProcess() const {
     return m_lease.m_row_version != 0 &&
            m_lease.m_record.m_holder == m_tables.m_self &&
            !m_lease.m_record.m_released;
   }
 
   void ResolveAcquisition() {
-    // A record of an earlier lease of ours may still be in the row, so only
-    // the very record that was written counts.
+    // The row may still hold the record of an earlier lease of this process, so
+    // only a record equal to the written one confirms the takeover.
     if (m_lease.m_record == m_lease.m_pending_record) {
       OnWriteConfirmed();
       return;
     }
     if (m_lease.m_row_version != m_lease.m_pending_base_version) {
-      // The row moved past our base, so the takeover can no longer succeed.
+      // The row changed after the version that the write requires, so the
+      // takeover can no longer succeed.
       m_lease.m_write_outcome_unknown = false;
       m_lease.m_phase = LeasePhase::kWatching;
       return;
@@ -162,7 +164,7 @@
 
   void ResolveRenewal() {
     m_lease.m_write_outcome_unknown = false;
-    if (!RowIsOurs() ||
+    if (!RowNamesThisProcess() ||
         m_lease.m_record.m_epoch != m_lease.m_pending_record.m_epoch) {
       StepDown();
       return;
@@ -172,7 +174,8 @@
     }
   }
 
-  // A write of ours is in the row. Its time counts from when it was sent.
+  // The row holds the record of the last write. The lease's TTL counts from
+  // when that write was sent.
   void OnWriteConfirmed() {
     m_lease.m_write_outcome_unknown = false;
     if (m_lease.m_phase == LeasePhase::kReleasing &&
@@ -182,20 +185,20 @@
       m_lease.m_phase = LeasePhase::kWatching;
       return;
     }
-    const bool first = m_lease.m_phase == LeasePhase::kAcquiring;
+    const bool acquired = m_lease.m_phase == LeasePhase::kAcquiring;
     m_lease.m_phase = m_lease.m_phase == LeasePhase::kReleasing
                           ? LeasePhase::kReleasing
                           : LeasePhase::kHolding;
     m_lease.m_confirmed_at = m_lease.m_pending_sent_at;
     m_lease.m_authority_until =
-        std::max(first ? TimePoint() : m_lease.m_authority_until,
+        std::max(acquired ? TimePoint() : m_lease.m_authority_until,
                  m_lease.m_pending_sent_at + m_settings.m_lease_ttl);
     m_lease.m_next_store_call_at =
         m_lease.m_pending_sent_at + m_settings.m_lease_renew_period;
     m_lease.m_extended = false;
     m_lease.m_promises.clear();
     AddPossibleStandbys(m_lease.m_record);
-    if (first) {
+    if (acquired) {
       BeginTerm();
     }
   }
@@ -207,7 +210,7 @@
     m_cell.m_routes_version = 0;
     m_cell.m_last_response_number = 0;
     m_cell.m_routes_dirty = true;
-    // Decisions need a configuration that was read under this lease.
+    // Decisions require a configuration that was read under this lease.
     m_tables.m_config.m_next_poll_at = m_now;
     LogEvent(EventNumber::kControlLeaseAcquired,
              {{"cell", m_cell.m_name}, {"epoch", m_lease.m_record.m_epoch}});
@@ -234,7 +237,7 @@
     m_lease.m_store_call_in_flight = true;
     m_lease.m_read_sent_at = m_now;
     m_context.m_outbox.m_reads.push_back(
-        {RowPurpose::kLease, m_id, LeaseKey(m_cell)});
+        {RowPurpose::kLease, m_cell_id, LeaseKey(m_cell)});
   }
 
   void Write(const LeaseRecord& record) {
@@ -242,11 +245,12 @@
     m_lease.m_pending_record = record;
     m_lease.m_pending_sent_at = m_now;
     m_lease.m_pending_base_version = m_lease.m_row_version;
-    // Until its outcome is known, the standbys of this write count as well.
+    // The standbys of this write may take over if the write succeeds, so they
+    // must promise as well until the outcome is known.
     if (m_lease.m_phase == LeasePhase::kHolding) {
       AddPossibleStandbys(record);
     }
-    m_context.m_outbox.m_writes.push_back({RowPurpose::kLease, m_id,
+    m_context.m_outbox.m_writes.push_back({RowPurpose::kLease, m_cell_id,
                                            LeaseKey(m_cell),
                                            m_lease.m_row_version, record});
   }
@@ -282,24 +286,27 @@
         !m_lease.m_platform_responds || m_now < m_lease.m_promised_until) {
       return false;
     }
-    const Duration unchanged = m_now - m_lease.m_unchanged_since;
+    const Duration unchanged_for = m_now - m_lease.m_unchanged_since;
     if (m_lease.m_row_version == 0 || m_lease.m_record.m_released) {
-      // A process that just started does not know its peers yet.
+      // A process that has just started does not know its peers yet and cannot
+      // rank itself.
       return m_now - m_tables.m_started_at >= kPeerDiscoveryTime &&
-             unchanged >= kRankDelay * RendezvousRank(m_tables, m_cell, m_now);
+             unchanged_for >=
+                 kRankDelay * RendezvousRank(m_tables, m_cell, m_now);
     }
     if (m_lease.m_record.m_holder == m_tables.m_self) {
-      // This process stepped down with its record still in the row.
-      return unchanged >= m_settings.m_takeover_delay;
+      // This process stepped down while its record was still in the row.
+      return unchanged_for >= m_settings.m_takeover_delay;
     }
     if (IsStandby(m_lease.m_record, m_tables.m_self)) {
-      return unchanged >= m_settings.m_takeover_delay;
+      return unchanged_for >= m_settings.m_takeover_delay;
     }
-    return unchanged >= AddClockDrift(m_settings, m_settings.m_extension_limit);
+    return unchanged_for >=
+           AddClockDrift(m_settings, m_settings.m_extension_limit);
   }
 
-  // Returns whether a write may be sent now. After one without an answer the
-  // row is read first.
+  // Returns whether a write may be sent now. If the outcome of the last write
+  // is unknown, the row is read first.
   bool MayWrite() {
     if (m_lease.m_store_call_in_flight ||
         m_now < m_lease.m_next_store_call_at) {
@@ -317,8 +324,8 @@
     if (!MayWrite()) {
       return;
     }
-    // The holder before acts until its last renewal or the promise of this
-    // process runs out, whichever is later.
+    // The predecessor acts until its last renewal or the promise of this
+    // process expires, whichever is later.
     m_cell.m_predecessor_active_until = std::min(
         m_now, std::max(m_lease.m_promised_until,
                         m_lease.m_unchanged_since +
@@ -351,29 +358,30 @@
     Write(record);
   }
 
-  // Promises replace renewals while the platform does not answer.
+  // Promises replace renewals while the platform does not respond.
   void RequestPromises() {
-    const bool renewals_late =
+    const bool renewal_overdue =
         m_now - m_lease.m_confirmed_at > m_settings.m_lease_ttl / 2;
     const bool within_limit =
         m_now - m_lease.m_confirmed_at < m_settings.m_extension_limit;
-    if (!renewals_late || !within_limit ||
+    if (!renewal_overdue || !within_limit ||
         m_now < m_lease.m_next_promise_round_at) {
       return;
     }
     m_lease.m_next_promise_round_at = m_now + m_settings.m_promise_ttl / 10;
     for (const auto& [standby, until] : m_lease.m_promises) {
       m_context.m_outbox.m_promise_requests.push_back(
-          {m_id, m_cell.m_name, standby, m_lease.m_record.m_epoch});
+          {m_cell_id, m_cell.m_name, standby, m_lease.m_record.m_epoch});
     }
     if (m_lease.m_promises.empty()) {
-      Extend();
+      ExtendAuthority();
     }
   }
 
-  // Without standbys nobody but this process may take over before the
-  // extension limit, so its own word is enough.
-  void Extend() {
+  // Extends the authority until the earliest promise of a standby expires.
+  // Without standbys, no other process may take over before the extension
+  // limit, so no promise is needed.
+  void ExtendAuthority() {
     TimePoint until = m_lease.m_confirmed_at + m_settings.m_extension_limit;
     for (const auto& [standby, promised] : m_lease.m_promises) {
       until = std::min(until, promised);
@@ -417,7 +425,7 @@
   ControlTables& m_tables;
   const ControlSettings& m_settings;
   TimePoint m_now;
-  CellId m_id;
+  CellId m_cell_id;
   CellRow& m_cell;
   LeaseState& m_lease;
 };
--- a/src/control/lease_system.h
+++ b/src/control/lease_system.h
@@ -4,7 +4,7 @@
 
 namespace foxtail {
 
-/// Takes, renews, extends and releases the control lease of each cell.
+/// Acquires, renews, extends and releases the control lease of each cell.
 class LeaseSystem {
  public:
   /// Runs over all cells once.
--- a/src/control/partition_moves.cc
+++ b/src/control/partition_moves.cc
@@ -5,7 +5,7 @@
 namespace foxtail {
 namespace {
 
-// A server that the record names and the configuration lacks keeps a row until
+// A server that the record names but the configuration lacks keeps a row until
 // its rights have ended.
 BackendServerId FindOrAddServer(ControlTables& tables,
                                 CellId cell_id,
@@ -26,8 +26,8 @@
   return id;
 }
 
-// Nothing is known of what an earlier controller's dispatchers and grants still
-// allow, except when it ends.
+// The rights that an earlier controller's dispatch leases and grants still give
+// are unknown, except for the time by which they end.
 void ResetRights(ControlTables& tables, CellRow& cell, TimePoint now) {
   const ControlSettings& settings = tables.m_settings;
   const Duration lease_overrun =
@@ -63,21 +63,21 @@
   });
 }
 
-std::map<PartitionNumber, std::string> WantedPartitions(
+std::map<PartitionNumber, std::string> ConfiguredPartitions(
     const ServiceConfig& service) {
-  std::map<PartitionNumber, std::string> wanted;
+  std::map<PartitionNumber, std::string> configured;
   for (PartitionNumber i = 0; i < service.m_partitions; ++i) {
-    wanted.emplace(i, "");
+    configured.emplace(i, "");
   }
   for (const PinnedKeyConfig& pin : service.m_pinned_keys) {
-    wanted.emplace(PartitionOfPin(pin.m_key), pin.m_server);
+    configured.emplace(PartitionOfPin(pin.m_key), pin.m_server);
   }
-  return wanted;
+  return configured;
 }
 
-// While a pinned key leaves or joins its hash range, the range passes through a
-// move to its own owner, so that the key's old right ends before the new one
-// begins. `blocker` is the pin that must end first, if any.
+// While a pinned key leaves or joins its hash range, the range goes through a
+// move to its own owner, so that the key's previous right ends before the new
+// one begins. `blocker` is the pin whose right must end first, if any.
 void PassThroughRelease(ControlTables& tables,
                         PartitionId range_id,
                         PartitionId blocker,
@@ -166,7 +166,8 @@
   }
   for (const auto& [number, id] : cell.m_partitions) {
     PartitionRow& row = tables.m_partitions.Get(id);
-    // A settled owner goes on; its grant is renewed under the new epoch.
+    // A stable owner keeps the partition; the grant is renewed under the new
+    // control epoch.
     if (row.m_phase == MovePhase::kGranting && row.m_owner.IsValid()) {
       row.m_phase = MovePhase::kStable;
     }
@@ -179,16 +180,16 @@
                          CellId cell_id,
                          CellRow& cell,
                          TimePoint now) {
-  const auto wanted = WantedPartitions(cell.m_service);
-  const bool first = cell.m_partitions.empty();
-  for (const auto& [number, pinned_to] : wanted) {
+  const auto configured = ConfiguredPartitions(cell.m_service);
+  const bool is_first = cell.m_partitions.empty();
+  for (const auto& [number, pinned_to] : configured) {
     PartitionId& id = cell.m_partitions[number];
     if (!id.IsValid()) {
       PartitionRow row;
       row.m_cell = cell_id;
       row.m_number = number;
       id = tables.m_partitions.Insert(row);
-      if (!first && !pinned_to.empty()) {
+      if (!is_first && !pinned_to.empty()) {
         BeginPin(tables, cell, id, now);
       }
     }
@@ -196,7 +197,7 @@
   }
   for (const auto& [number, id] : cell.m_partitions) {
     PartitionRow& row = tables.m_partitions.Get(id);
-    if (!wanted.contains(number) && MayStartMove(row)) {
+    if (!configured.contains(number) && MayStartMove(row)) {
       RetirePin(tables, cell, id, now);
     }
   }
--- a/src/control/partition_moves.h
+++ b/src/control/partition_moves.h
@@ -4,33 +4,34 @@
 
 namespace foxtail {
 
-/// Replaces the partition rows of a cell by those of its recorded assignment,
-/// and forgets what an earlier lease knew of its servers and dispatchers.
+/// Replaces the partition rows of a cell with those of its recorded assignment,
+/// and discards what is known of its dispatchers and grants from an earlier
+/// lease.
 void LoadPartitions(ControlTables& tables,
                     CellId cell_id,
                     CellRow& cell,
                     TimePoint now);
 
-/// Adds rows for partitions that the configuration has and the cell lacks, and
-/// starts to retire pinned keys that it no longer has.
+/// Adds rows for the partitions that the configuration has and the cell lacks,
+/// and starts to retire the pinned keys that the configuration no longer has.
 void ReconcilePartitions(ControlTables& tables,
                          CellId cell_id,
                          CellRow& cell,
                          TimePoint now);
 
-/// Brings the rows into line with a record that the platform holds; returns how
-/// many partitions changed owner.
+/// Applies a record that the platform holds to the partition rows. Returns the
+/// number of partitions that changed owner.
 size_t ApplyAssignment(ControlTables& tables,
                        CellRow& cell,
                        const AssignmentRecord& record);
 
-/// Starts to move a settled partition; the next record will name the target.
+/// Starts to move a partition. The next assignment record names the target.
 void StartMove(PartitionRow& partition, BackendServerId target, TimePoint now);
 
-/// Returns whether a partition may be given a new target now.
+/// Returns whether a move of the partition may start now.
 bool MayStartMove(const PartitionRow& partition);
 
-/// Returns whether requests for the partition must wait.
+/// Returns whether requests for the partition are paused.
 bool IsPaused(const PartitionRow& partition);
 
 }  // namespace foxtail
--- a/src/control/peer_system.h
+++ b/src/control/peer_system.h
@@ -4,7 +4,7 @@
 
 namespace foxtail {
 
-/// Notes which other control processes answer, and drops silent ones.
+/// Records which other control processes respond, and removes silent ones.
 class PeerSystem {
  public:
   /// Runs over all peers once.
--- a/src/control/placement_strategy.cc
+++ b/src/control/placement_strategy.cc
@@ -9,8 +9,9 @@
 namespace foxtail {
 namespace {
 
-// Weighted rendezvous score: the highest of -weight / ln(u) wins, which gives
-// each server partitions in proportion to its slots.
+// Returns the weighted rendezvous score, -slots / ln(u). The candidate with the
+// highest score wins, which gives each server partitions in proportion to its
+// slots.
 double Score(uint64_t partition_hash, const PlacementCandidate& candidate) {
   const uint64_t hash = FastHash(candidate.m_server, partition_hash);
   const double uniform =
--- a/src/control/placement_strategy.h
+++ b/src/control/placement_strategy.h
@@ -12,10 +12,10 @@
   std::string m_server;
   uint32_t m_slots = 1;
 
-  /// Partitions it owns or is about to own.
+  /// Partitions that the server owns or is about to own.
   size_t m_partitions = 0;
 
-  /// Requests a second for them.
+  /// Requests per second for these partitions.
   double m_load = 0;
 };
 
@@ -24,24 +24,24 @@
  public:
   virtual ~PlacementStrategy() = default;
 
-  /// Returns the index of the chosen candidate. There is at least one.
+  /// Returns the index of the chosen candidate; `candidates` is not empty.
   virtual size_t Choose(
       uint64_t partition_hash,
       std::span<const PlacementCandidate> candidates) const = 0;
 };
 
-/// Chooses by rendezvous hashing alone; the baseline.
+/// Chooses by weighted rendezvous hashing alone; the baseline for comparisons.
 class RendezvousPlacement : public PlacementStrategy {
  public:
   size_t Choose(uint64_t partition_hash,
                 std::span<const PlacementCandidate> candidates) const override;
 };
 
-/// Chooses by rendezvous hashing among the servers that stay within a bound
-/// over the mean of partitions per slot.
+/// Chooses by weighted rendezvous hashing among the servers whose partitions
+/// per slot stay within a bound relative to the mean.
 class BoundedLoadPlacement : public PlacementStrategy {
  public:
-  /// `bound` is the allowed ratio to the mean; at least 1.
+  /// `bound` is the maximum ratio to the mean; it must be 1 or more.
   explicit BoundedLoadPlacement(double bound);
 
   size_t Choose(uint64_t partition_hash,
--- a/src/control/placement_system.cc
+++ b/src/control/placement_system.cc
@@ -11,7 +11,7 @@
 namespace foxtail {
 namespace {
 
-// Decisions about the owners of one cell's partitions in one tick.
+// Decides on the owners of one cell's partitions in one tick.
 class CellPlacement {
  public:
   CellPlacement(ControlContext& context,
@@ -93,8 +93,8 @@
     }
     const BackendServerRow* server = m_tables.m_servers.Find(partition.m_owner);
     const size_t target = m_strategy.Choose(HashOf(partition), m_candidates);
-    // A server that still answers hands over a few partitions at a time, so
-    // that no receiver is overrun; a lost one hands over all at once.
+    // A server that is up hands over a few partitions at a time, so that no
+    // receiver is overloaded. All partitions of a lost server move at once.
     const bool planned = server && server->m_up;
     if (planned && !CanMoveWithoutDelay(*server)) {
       return;
@@ -106,13 +106,15 @@
     Move(partition, target);
   }
 
-  // Requests of a lost dispatcher may still run at a server that checks no
-  // fence; a planned move would hold its requests until they are over.
+  // Requests of a lost dispatcher may still run at a server that does not check
+  // the fence. A planned move would pause the partition's requests until these
+  // have ended.
   bool CanMoveWithoutDelay(const BackendServerRow& server) const {
     return m_cell.m_service.m_checks_fence || m_now >= server.m_may_run_until;
   }
 
-  // Returns whether the pin decides; not while its server takes no work.
+  // Returns whether the pin decides the owner. The pin does not decide while
+  // its server is not eligible.
   bool PlacePinned(PartitionRow& partition, std::optional<size_t> owner) {
     const auto pinned = std::ranges::find(m_candidates, partition.m_pinned_to,
                                           &PlacementCandidate::m_server);
@@ -154,8 +156,8 @@
           {"to", target}}});
   }
 
-  // One planned move at a time: first by number of partitions, so that servers
-  // that return take part again, then by load.
+  // Starts one planned move at a time: by number of partitions first, so that
+  // returned servers receive partitions again, then by load.
   void Rebalance() {
     const bool moving =
         std::ranges::any_of(m_cell.m_partitions, [&](const auto& entry) {
@@ -166,7 +168,8 @@
       return;
     }
     if (RebalanceByCount()) {
-      // Counts settle fast: a returned server takes a few partitions a second.
+      // A tenth of the period lets a returned server receive a few partitions
+      // per second.
       m_cell.m_next_rebalance_at = m_now + m_settings.m_rebalance_period / 10;
       return;
     }
@@ -199,7 +202,8 @@
     return {low, high};
   }
 
-  // Moves the least loaded partition when the counts differ too much.
+  // Moves the partition with the lowest load if the partition counts differ too
+  // much. Returns whether a move was started.
   bool RebalanceByCount() {
     const auto [low, high] = MinMaxBy(&CellPlacement::CountPerSlot);
     const double gap =
@@ -220,8 +224,9 @@
     return true;
   }
 
-  // Moves the partition that brings the two servers closest, if the busy one
-  // is well over the mean and the gain outlasts the dwell time.
+  // Moves the partition that brings the loads of the two servers closest, if
+  // the more loaded server is well above the mean and the partition has stayed
+  // for the cooldown time.
   void RebalanceByLoad() {
     const auto [low, high] = MinMaxBy(&CellPlacement::LoadPerSlot);
     double total = 0;
@@ -239,10 +244,10 @@
     PartitionRow* chosen = nullptr;
     double smallest_gap = gap;
     ForEachMovable(high, [&](PartitionRow& partition) {
-      const double after = std::abs(gap - 2 * partition.m_load);
-      if (after < smallest_gap &&
+      const double remaining_gap = std::abs(gap - 2 * partition.m_load);
+      if (remaining_gap < smallest_gap &&
           m_now - partition.m_stable_since > m_settings.m_move_cooldown) {
-        smallest_gap = after;
+        smallest_gap = remaining_gap;
         chosen = &partition;
       }
     });
@@ -263,10 +268,10 @@
     }
   }
 
-  // Partitions by which two servers may differ.
+  // Number of partitions by which two servers may differ.
   static constexpr double kCountTolerance = 2;
 
-  // A load move must close at least this part of the gap.
+  // A load-driven move must leave less than this fraction of the gap.
   static constexpr double kMaxRemainingGap = 0.8;
 
   ControlContext& m_context;
@@ -279,7 +284,8 @@
   std::vector<Receiver> m_receivers;
   std::map<BackendServerId, size_t> m_receiver_index;
 
-  // First owners are chosen among all servers, not among the first to answer.
+  // Whether all serving servers were probed, so that first owners are chosen
+  // among all of them and not among the first to respond.
   bool m_all_probed = true;
 };
 
--- a/src/control/placement_system.h
+++ b/src/control/placement_system.h
@@ -7,9 +7,9 @@
 
 namespace foxtail {
 
-/// Decides which partitions must change owner, and to whom: away from servers
-/// that are lost or leaving, to the server of a pin, and from servers that have
-/// too much to those that have room.
+/// Decides which partitions change owner and which server receives them.
+/// Partitions move away from lost and leaving servers, to the server that a
+/// pinned key names, and from overloaded servers to less loaded ones.
 class PlacementSystem {
  public:
   explicit PlacementSystem(std::unique_ptr<PlacementStrategy> strategy);
--- a/src/control/plan_builder.cc
+++ b/src/control/plan_builder.cc
@@ -10,7 +10,7 @@
 namespace foxtail {
 namespace {
 
-// Expected time for which requests of one partition wait during a planned move.
+// Expected time for which a planned move pauses one partition, in milliseconds.
 constexpr double kPauseMsPerMove = 15;
 
 template <typename Row>
@@ -104,17 +104,17 @@
     {"key_withdraw", &WithdrawApiKey},
 }};
 
-// Describes rows that were added, removed or changed.
+// Appends one line per row that was removed, changed or added.
 template <typename Row>
 void DescribeRows(const std::string& kind,
                   const std::vector<Row>& base,
                   const std::vector<Row>& proposed,
                   std::vector<std::string>& lines) {
   for (const Row& row : base) {
-    const Row* now = FindNamed(proposed, row.m_name);
-    if (!now) {
+    const Row* updated = FindNamed(proposed, row.m_name);
+    if (!updated) {
       lines.push_back(fmt::format("remove {} {}", kind, row.m_name));
-    } else if (!(*now == row)) {
+    } else if (!(*updated == row)) {
       lines.push_back(fmt::format("change {} {}", kind, row.m_name));
     }
   }
@@ -125,7 +125,7 @@
   }
 }
 
-// The servers of one service that will take work, with their partitions.
+// The serving servers of one service, with their partition counts.
 struct Receivers {
   std::vector<PlacementCandidate> m_candidates;
 
@@ -163,7 +163,7 @@
     ++receivers.m_candidates[target].m_partitions;
     ++moves;
   }
-  // Servers without partitions receive their part of the others'.
+  // Servers without partitions receive an even share from the others.
   const size_t servers = receivers.m_candidates.size();
   const size_t even_share = servers ? assignment.m_owners.size() / servers : 0;
   for (PlacementCandidate& candidate : receivers.m_candidates) {
@@ -258,12 +258,12 @@
     plan.m_changes.push_back(
         fmt::format("service {}: {} partitions move", service.m_name, moves));
     for (size_t i = 0; i < receivers.m_candidates.size(); ++i) {
-      const PlacementCandidate& now = receivers.m_candidates[i];
-      const size_t earlier = before.m_candidates[i].m_partitions;
-      if (now.m_partitions != earlier) {
+      const PlacementCandidate& after = receivers.m_candidates[i];
+      const size_t count_before = before.m_candidates[i].m_partitions;
+      if (after.m_partitions != count_before) {
         plan.m_changes.push_back(fmt::format("  {}: {} to {} partitions",
-                                             now.m_server, earlier,
-                                             now.m_partitions));
+                                             after.m_server, count_before,
+                                             after.m_partitions));
       }
     }
   }
--- a/src/control/plan_builder.h
+++ b/src/control/plan_builder.h
@@ -10,7 +10,7 @@
 
 namespace foxtail {
 
-/// One change that an operator asks for, in place of a whole document.
+/// One change that an operator requests instead of applying a whole document.
 struct ConfigurationChange {
   /// "data_centre", "server", "key_grant" or "key_withdraw".
   std::string m_kind;
@@ -18,10 +18,10 @@
   /// Data centre, server, or name of the API key.
   std::string m_name;
 
-  /// Service of a server.
+  /// Service to which the server belongs.
   std::string m_service;
 
-  /// Workspace of an API key.
+  /// Workspace to which the API key belongs.
   std::string m_workspace;
 
   /// "serving" or "leaving".
@@ -31,12 +31,13 @@
   std::string m_digest;
 };
 
-/// Applies one change to a configuration; adds faults when it cannot.
+/// Applies one change to a configuration. Appends to `errors` if the change is
+/// invalid.
 void ApplyChange(const ConfigurationChange& change,
                  Configuration& configuration,
                  std::vector<IntentFault>& errors);
 
-/// Adds the faults that only show against the configuration in force.
+/// Appends the validation errors that depend on the configuration in force.
 void ValidateChange(const Configuration& base,
                     const Configuration& proposed,
                     std::vector<IntentFault>& errors);
@@ -45,8 +46,8 @@
 std::vector<std::string> DescribeChanges(const Configuration& base,
                                          const Configuration& proposed);
 
-/// Fills in what a plan moves and costs, given the recorded assignments of its
-/// services.
+/// Fills in how many partitions a plan moves and the expected pause, given the
+/// recorded assignments of its services by name.
 void EstimateCost(const PlacementStrategy& strategy,
                   const std::map<std::string, AssignmentRecord>& assignments,
                   PlanRecord& plan);
--- a/src/control/publish_system.cc
+++ b/src/control/publish_system.cc
@@ -9,14 +9,14 @@
 
 using std::chrono::milliseconds;
 
-// Publishing for one cell in one tick.
+// Publishes the routes and leases of one cell in one tick.
 class CellPublisher {
  public:
   CellPublisher(ControlContext& context, CellId id, CellRow& cell)
       : m_context(context),
         m_tables(context.m_tables),
         m_now(context.m_now.m_steady),
-        m_id(id),
+        m_cell_id(id),
         m_cell(cell) {}
 
   void Run() {
@@ -68,7 +68,7 @@
           {number, index->second, partition.m_epoch, IsPaused(partition)});
     }
     m_tables.m_crashes.ForEach([&](auto, const CrashRow& row) {
-      if (row.m_cell != m_id) {
+      if (row.m_cell != m_cell_id) {
         return;
       }
       if (row.m_quarantined) {
@@ -141,8 +141,8 @@
     const ControlSettings& settings = m_tables.m_settings;
     response.m_held_for = std::chrono::duration_cast<milliseconds>(
         (m_now - pending.m_received_at) * (1.0 - settings.m_clock_drift));
-    // A lease that ends soon after this controller's authority lets a successor
-    // go on soon after a loss of both.
+    // A lease that ends soon after this controller's authority shortens a
+    // successor's wait if both the controller and the dispatcher are lost.
     response.m_lease = std::min(
         settings.m_dispatch_lease_ttl,
         response.m_authority_left + settings.m_max_dispatch_lease_overrun);
@@ -165,7 +165,7 @@
   void AddDedupStates(BackendServerId server, SyncResponse& response) {
     m_tables.m_dedup_states.ForEach([&](auto, const DedupStateRow& row) {
       const auto found = m_cell.m_partitions.find(row.m_dedup_state.m_number);
-      if (row.m_cell != m_id || found == m_cell.m_partitions.end()) {
+      if (row.m_cell != m_cell_id || found == m_cell.m_partitions.end()) {
         return;
       }
       if (m_tables.m_partitions.Get(found->second).m_owner == server) {
@@ -177,7 +177,7 @@
   ControlContext& m_context;
   ControlTables& m_tables;
   TimePoint m_now;
-  CellId m_id;
+  CellId m_cell_id;
   CellRow& m_cell;
 };
 
--- a/src/control/publish_system.h
+++ b/src/control/publish_system.h
@@ -4,7 +4,7 @@
 
 namespace foxtail {
 
-/// Builds the routes of each cell and answers the dispatchers that wait.
+/// Builds the routes of each cell and responds to pending sync requests.
 class PublishSystem {
  public:
   /// Runs over all cells once.
--- a/src/control/server_system.cc
+++ b/src/control/server_system.cc
@@ -34,7 +34,7 @@
     LogServerEvent(context, EventNumber::kServerUp, cell, *server);
   }
   if (server->m_incarnation != response.m_incarnation) {
-    // A restarted server has no grants.
+    // A restarted server has lost its grants.
     server->m_incarnation = response.m_incarnation;
     server->m_grant_due = true;
   }
--- a/src/control/standby_choice.cc
+++ b/src/control/standby_choice.cc
@@ -40,7 +40,8 @@
   return rank;
 }
 
-// Other data centres come first, so that one loss spares the standbys.
+// Prefers processes in other data centres, so that the loss of this process's
+// data centre does not take the standbys with it.
 std::vector<ControlInstance> ChooseStandbys(const ControlTables& tables,
                                             const CellRow& cell,
                                             TimePoint now) {
--- a/src/control/standby_choice.h
+++ b/src/control/standby_choice.h
@@ -7,14 +7,14 @@
 
 namespace foxtail {
 
-/// Returns the rendezvous rank of this process among the live ones for a cell;
-/// 0 is the first choice.
+/// Returns the rendezvous rank of this process among the live control processes
+/// for a cell; 0 ranks first.
 size_t RendezvousRank(const ControlTables& tables,
                       const CellRow& cell,
                       TimePoint now);
 
-/// Returns the processes that the lease of a cell should name as standbys,
-/// sorted.
+/// Returns the processes that the lease of a cell should name as standbys, in
+/// ascending order.
 std::vector<ControlInstance> ChooseStandbys(const ControlTables& tables,
                                             const CellRow& cell,
                                             TimePoint now);
--- a/src/control/token_system.h
+++ b/src/control/token_system.h
@@ -7,11 +7,11 @@
 
 namespace foxtail {
 
-/// Hands out the tokens of each workspace's rate and burst. Tokens that are out
-/// count against the burst until they are given back or their life is over.
+/// Issues tokens within each workspace's rate and burst. Issued tokens count
+/// against the burst until they are returned or expire.
 class TokenSystem {
  public:
-  /// Answers all requests for tokens that arrived.
+  /// Responds to all token requests received since the last tick.
   void Run(ControlContext& context);
 
  private:
--- a/tests/control/control_test.cc
+++ b/tests/control/control_test.cc
@@ -12,23 +12,23 @@
 
 using std::chrono::milliseconds;
 
-TEST(LeaseTest, StandbyTakesOverOnlyAfterAFullPeriod) {
+TEST(LeaseTest, StandbyTakesOverOnlyAfterLeaseExpires) {
   FakeWorld world(2);
   world.Configure(OneService());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   const size_t holder = world.HolderOf("catalogue");
   world.RunFor(milliseconds(1000));
   world.m_nodes[holder].m_stopped = true;
-  const TimePoint stopped = world.Now();
+  const TimePoint stopped_at = world.Now();
   ASSERT_TRUE(world.RunUntil(
       [&] { return world.HolderOf("catalogue") == 1 - holder; }));
   const ControlSettings settings;
-  EXPECT_GE(world.Now() - stopped,
+  EXPECT_GE(world.Now() - stopped_at,
             settings.m_lease_ttl - settings.m_lease_renew_period);
-  EXPECT_LE(world.Now() - stopped, milliseconds(1000));
+  EXPECT_LE(world.Now() - stopped_at, milliseconds(1000));
 }
 
-TEST(LeaseTest, NeverTwoHoldersUnderOutagesPausesAndLostAnswers) {
+TEST(LeaseTest, AtMostOneHolderUnderOutagesPausesAndLostResponses) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     FakeWorld world(3);
     world.Configure(OneService());
@@ -42,11 +42,12 @@
       world.RunFor(milliseconds(random() % 400));
       ASSERT_LE(world.m_most_holders, 1U) << "seed " << seed;
     }
-    EXPECT_EQ(world.m_most_holders, 1U) << "nobody ever held, seed " << seed;
+    EXPECT_EQ(world.m_most_holders, 1U)
+        << "no process ever held the lease, seed " << seed;
   }
 }
 
-TEST(LeaseTest, HolderGoesOnThroughAnOutageWithPromises) {
+TEST(LeaseTest, HolderKeepsLeaseThroughOutageWithPromises) {
   FakeWorld world(3);
   world.Configure(OneService());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
@@ -62,7 +63,7 @@
   EXPECT_EQ(world.HolderOf("catalogue"), holder);
 }
 
-TEST(LeaseTest, HolderStopsWhenAStandbyDoesNotPromise) {
+TEST(LeaseTest, HolderStepsDownWithoutPromiseOfAStandby) {
   FakeWorld world(3);
   world.Configure(OneService());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
@@ -74,66 +75,71 @@
   EXPECT_EQ(world.HolderOf("catalogue"), FakeWorld::kNobody);
 }
 
-TEST(TokenTest, UnknownTokensOfAPredecessorCountAgainstTheBurst) {
+TEST(TokenTest, TokensOfAPredecessorCountAgainstTheBurst) {
   FakeWorld world(2);
   Configuration configuration = OneService();
   configuration.m_workspaces = {{"club", 100, 40, 1, {"catalogue"}, {}}};
   world.Configure(configuration);
   ASSERT_TRUE(world.RunUntilHolder(kAccessCell));
   world.RunFor(milliseconds(1500));
-  // The first holder hands out all it may.
-  double before = world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
-  EXPECT_EQ(before, 20);
+  // The first holder issues as many tokens as it may: half of the burst.
+  double first_holder_tokens =
+      world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+  EXPECT_EQ(first_holder_tokens, 20);
   world.m_nodes[world.HolderOf(kAccessCell)].m_stopped = true;
   ASSERT_TRUE(world.RunUntil([&] {
     const size_t holder = world.HolderOf(kAccessCell);
     return holder != FakeWorld::kNobody && !world.m_nodes[holder].m_stopped;
   }));
-  // Nothing is in stock at first, and never more than the rest of the burst.
-  const double at_once =
+  // The successor starts without stock, and never issues more than the
+  // rest of the burst.
+  const double initial_tokens =
       world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
-  EXPECT_LE(at_once, 2);
+  EXPECT_LE(initial_tokens, 2);
   world.RunFor(milliseconds(600));
-  const double later =
+  const double later_tokens =
       world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
-  EXPECT_LE(at_once + later, 20);
+  EXPECT_LE(initial_tokens + later_tokens, 20);
 }
 
 TEST(PlacementTest, BoundedLoadKeepsServersNearTheMean) {
   const BoundedLoadPlacement bounded(1.1);
-  const RendezvousPlacement plain;
-  std::vector<PlacementCandidate> with_bound;
+  const RendezvousPlacement rendezvous;
+  std::vector<PlacementCandidate> bounded_candidates;
   for (int i = 0; i < 25; ++i) {
-    with_bound.push_back({"server-" + std::to_string(i), 2, 0, 0});
+    bounded_candidates.push_back({"server-" + std::to_string(i), 2, 0, 0});
   }
-  std::vector<PlacementCandidate> without = with_bound;
+  std::vector<PlacementCandidate> rendezvous_candidates = bounded_candidates;
   for (uint64_t i = 0; i < 500; ++i) {
-    ++with_bound[bounded.Choose(i * 7919, with_bound)].m_partitions;
-    ++without[plain.Choose(i * 7919, without)].m_partitions;
+    ++bounded_candidates[bounded.Choose(i * 7919, bounded_candidates)]
+          .m_partitions;
+    ++rendezvous_candidates[rendezvous.Choose(i * 7919, rendezvous_candidates)]
+          .m_partitions;
   }
-  const auto most = [](const auto& all) {
+  const auto max_partitions = [](const auto& all) {
     return std::ranges::max(all, {}, &PlacementCandidate::m_partitions)
         .m_partitions;
   };
-  EXPECT_LE(most(with_bound), 22U);
-  EXPECT_GT(most(without), most(with_bound));
+  EXPECT_LE(max_partitions(bounded_candidates), 22U);
+  EXPECT_GT(max_partitions(rendezvous_candidates),
+            max_partitions(bounded_candidates));
 }
 
-TEST(PlacementTest, PlainChoiceMovesOnlyWhatALostServerHad) {
-  const RendezvousPlacement plain;
+TEST(PlacementTest, RendezvousMovesOnlyPartitionsOfALostServer) {
+  const RendezvousPlacement rendezvous;
   std::vector<PlacementCandidate> all;
   for (int i = 0; i < 10; ++i) {
     all.push_back({"server-" + std::to_string(i), 2, 0, 0});
   }
   std::vector<PlacementCandidate> rest(all.begin() + 1, all.end());
   for (uint64_t i = 0; i < 300; ++i) {
-    const std::string before = all[plain.Choose(i * 7919, all)].m_server;
-    const std::string after = rest[plain.Choose(i * 7919, rest)].m_server;
+    const std::string before = all[rendezvous.Choose(i * 7919, all)].m_server;
+    const std::string after = rest[rendezvous.Choose(i * 7919, rest)].m_server;
     EXPECT_TRUE(before == after || before == "server-0");
   }
 }
 
-TEST(PlanTest, LeavingDataCentreTellsMovesAndReceivers) {
+TEST(PlanTest, LeavingDataCentreReportsMovesAndReceivers) {
   PlanRecord plan;
   plan.m_configuration = OneService();
   AssignmentRecord assignment;
@@ -141,25 +147,25 @@
     assignment.m_owners.push_back(
         {i, "server-" + std::to_string(i % 4), 1, ""});
   }
-  std::vector<IntentFault> faults;
+  std::vector<IntentFault> errors;
   ApplyChange({"data_centre", "dc-1", "", "", "leaving", ""},
-              plan.m_configuration, faults);
-  ASSERT_TRUE(faults.empty());
+              plan.m_configuration, errors);
+  ASSERT_TRUE(errors.empty());
   EstimateCost(BoundedLoadPlacement(1.1), {{"catalogue", assignment}}, plan);
   EXPECT_EQ(plan.m_moves, 4U);
   EXPECT_GT(plan.m_unavailable_ms, 0);
   EXPECT_FALSE(plan.m_changes.empty());
 }
 
-TEST(PlanTest, PlanThatLeavesNoServerIsRefused) {
+TEST(PlanTest, PlanWithoutServingServerIsRejected) {
   Configuration proposed = OneService();
   for (BackendServerConfig& server : proposed.m_services[0].m_servers) {
     server.m_state = ServingState::kLeaving;
   }
-  std::vector<IntentFault> faults;
-  ValidateChange(OneService(), proposed, faults);
-  ASSERT_EQ(faults.size(), 1U);
-  EXPECT_EQ(faults[0].m_place, "services.catalogue.servers");
+  std::vector<IntentFault> errors;
+  ValidateChange(OneService(), proposed, errors);
+  ASSERT_EQ(errors.size(), 1U);
+  EXPECT_EQ(errors[0].m_place, "services.catalogue.servers");
 }
 
 }  // namespace
