--- a/src/control/control_tables.h
+++ b/src/control/control_tables.h
@@ -120,7 +120,8 @@
   /// again.
   bool m_write_outcome_unknown = false;
 
-  /// Partition rows changed in a way that is recorded with low urgency.
+  /// The record does not reflect yet that rights of previous owners have ended.
+  /// The moves go on without waiting for this write.
   bool m_dirty = false;
   TimePoint m_next_store_call_at;
 };
@@ -352,7 +353,7 @@
   ControlInstance m_self;
   std::string m_data_centre;
   TimePoint m_started_at;
-  bool m_stopping = false;
+  bool m_shutting_down = false;
   ConfigState m_config;
   std::shared_ptr<const AccessView> m_access;
   Table<PeerRow> m_peers;
--- a/src/control/lease_system.cc
+++ b/src/control/lease_system.cc
@@ -282,7 +282,7 @@
   }
 
   bool MayAcquire() const {
-    if (m_tables.m_stopping || m_cell.m_removed || !m_lease.m_row_loaded ||
+    if (m_tables.m_shutting_down || m_cell.m_removed || !m_lease.m_row_loaded ||
         !m_lease.m_platform_responds || m_now < m_lease.m_promised_until) {
       return false;
     }
@@ -342,7 +342,7 @@
       StepDown();
       return;
     }
-    if (m_tables.m_stopping) {
+    if (m_tables.m_shutting_down) {
       m_lease.m_phase = LeasePhase::kReleasing;
       m_lease.m_next_store_call_at = m_now;
       Release();
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -79,12 +79,12 @@
 }
 
 void ControlLoop::Stop() {
-  m_tables.m_stopping = true;
+  m_tables.m_shutting_down = true;
   m_arrived.Notify();
 }
 
 bool ControlLoop::MayEnd() const {
-  if (!m_tables.m_stopping) {
+  if (!m_tables.m_shutting_down) {
     return false;
   }
   bool holds = false;
