--- a/src/control/control_messages.h
+++ b/src/control/control_messages.h
@@ -11,7 +11,7 @@
 
 namespace foxtail {
 
-/// Which state a platform row belongs to.
+/// Selects the state that a platform row belongs to.
 enum class RowPurpose {
   kLease,
   kAssignment,
@@ -19,88 +19,91 @@
   kConfigDocument,
 };
 
-/// A platform read or write that ended.
-struct RowAnswer {
+/// Result of a platform read or write.
+struct RowResponse {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
-  bool m_write = false;
+  bool m_is_write = false;
   RowResult m_result;
-  TimePoint m_sent;
+  TimePoint m_sent_at;
 };
 
-/// A standby's answer to a request for a promise.
-struct PromiseAnswer {
+/// A standby's response to a promise request, or a refusal if the call failed.
+struct PromiseResponse {
   CellId m_cell;
   ControlInstance m_standby;
   uint64_t m_epoch = 0;
   bool m_given = false;
-  TimePoint m_sent;
+  TimePoint m_sent_at;
 };
 
-/// A holder's request for a promise.
-struct PromiseAsked {
+/// A lease holder's request for a promise, as received by a standby.
+struct ReceivedPromiseRequest {
   uint64_t m_handle = 0;
   std::string m_cell;
   ControlInstance m_holder;
   uint64_t m_epoch = 0;
 };
 
-/// A backend server's answer to a grant, or its absence.
-struct GrantAnswer {
+/// A backend server's response to a grant; `m_accepted` is false if the call
+/// failed.
+struct GrantResponse {
   BackendServerId m_server;
   uint64_t m_number = 0;
   bool m_accepted = false;
-  std::string m_instance;
+  std::string m_incarnation;
 };
 
-/// A backend server's answer to a probe, or its absence.
-struct ProbeAnswer {
+/// A backend server's response to a probe; `m_answered` is false if the probe
+/// failed.
+struct ProbeResponse {
   BackendServerId m_server;
   bool m_answered = false;
-  std::string m_instance;
+  std::string m_incarnation;
 };
 
-/// A dispatcher's sync request.
-struct SyncAsked {
+/// A dispatcher's sync request, as received.
+struct ReceivedSyncRequest {
   uint64_t m_handle = 0;
   SyncRequest m_request;
-  TimePoint m_received;
+  TimePoint m_received_at;
 };
 
-/// An entry's request for tokens.
-struct TokensAsked {
+/// An entry's token request, as received.
+struct ReceivedTokenRequest {
   uint64_t m_handle = 0;
   TokenRequest m_request;
-  TimePoint m_received;
+  TimePoint m_received_at;
 };
 
-/// Another control process that answered.
-struct PeerAnswer {
+/// Another control process that responded.
+struct PeerResponse {
   ControlInstance m_peer;
   std::string m_data_centre;
 };
 
 /// Everything that arrived since the last tick.
 struct ControlInbox {
-  std::vector<RowAnswer> m_rows;
-  std::vector<PromiseAnswer> m_promises;
-  std::vector<PromiseAsked> m_promises_asked;
-  std::vector<GrantAnswer> m_grants;
-  std::vector<ProbeAnswer> m_probes;
-  std::vector<SyncAsked> m_syncs;
-  std::vector<TokensAsked> m_tokens;
-  std::vector<PeerAnswer> m_peers;
-};
-
-/// Read a platform row.
-struct ReadRow {
+  std::vector<RowResponse> m_row_responses;
+  std::vector<PromiseResponse> m_promise_responses;
+  std::vector<ReceivedPromiseRequest> m_promise_requests;
+  std::vector<GrantResponse> m_grant_responses;
+  std::vector<ProbeResponse> m_probe_responses;
+  std::vector<ReceivedSyncRequest> m_sync_requests;
+  std::vector<ReceivedTokenRequest> m_token_requests;
+  std::vector<PeerResponse> m_peer_responses;
+};
+
+/// Reads a platform row.
+struct ReadRecordCommand {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
   RowKey m_key;
 };
 
-/// Write a platform row if it has a version.
-struct WriteRow {
+/// Writes a platform row if the row still has version `m_if_version` (0: if the
+/// row is missing).
+struct WriteRecordCommand {
   RowPurpose m_purpose = RowPurpose::kLease;
   CellId m_cell;
   RowKey m_key;
@@ -108,70 +111,70 @@
   RecordValue m_value;
 };
 
-/// Ask a standby not to take over.
-struct AskPromise {
+/// Requests a standby's promise not to take over.
+struct RequestPromiseCommand {
   CellId m_cell;
   std::string m_cell_name;
   ControlInstance m_standby;
   uint64_t m_epoch = 0;
 };
 
-/// Answer a holder.
-struct GivePromise {
+/// Responds to a lease holder's promise request.
+struct PromiseResponseCommand {
   uint64_t m_handle = 0;
   bool m_given = false;
 };
 
-/// Send a backend server the whole list of its grants.
-struct SendGrant {
+/// Sends a backend server the complete list of its grants.
+struct SendGrantCommand {
   BackendServerId m_server;
   std::string m_address;
   std::string m_cell_name;
   uint64_t m_control_epoch = 0;
   uint64_t m_number = 0;
-  std::chrono::milliseconds m_lifetime{0};
-  WallTime m_expires;
+  std::chrono::milliseconds m_ttl{0};
+  WallTime m_expires_at;
   std::map<PartitionNumber, uint64_t> m_partitions;
 };
 
-/// Probe a backend server's health.
-struct SendProbe {
+/// Probes the health of a backend server.
+struct SendProbeCommand {
   BackendServerId m_server;
   std::string m_address;
 };
 
-/// Answer a dispatcher.
-struct AnswerSync {
+/// Responds to a dispatcher's sync request.
+struct SyncResponseCommand {
   uint64_t m_handle = 0;
   SyncResponse m_response;
 };
 
-/// Answer an entry's request for tokens.
-struct AnswerTokens {
+/// Responds to an entry's token request.
+struct TokenResponseCommand {
   uint64_t m_handle = 0;
   TokenResponse m_response;
 };
 
-/// Write an event.
-struct NoteEvent {
+/// Writes an event to the log.
+struct LogEventCommand {
   EventNumber m_number = EventNumber::kInternalFailure;
   std::vector<EventField> m_fields;
 };
 
-/// Everything that a tick wants done outside.
+/// Commands of a tick, which the control loop executes after the tick.
 struct ControlOutbox {
-  std::vector<ReadRow> m_reads;
-  std::vector<WriteRow> m_writes;
-  std::vector<AskPromise> m_promises;
-  std::vector<GivePromise> m_promise_answers;
-  std::vector<SendGrant> m_grants;
-  std::vector<SendProbe> m_probes;
-  std::vector<AnswerSync> m_syncs;
-  std::vector<AnswerTokens> m_tokens;
-  std::vector<NoteEvent> m_events;
-};
-
-/// What each system of a tick works on.
+  std::vector<ReadRecordCommand> m_reads;
+  std::vector<WriteRecordCommand> m_writes;
+  std::vector<RequestPromiseCommand> m_promise_requests;
+  std::vector<PromiseResponseCommand> m_promise_responses;
+  std::vector<SendGrantCommand> m_grants;
+  std::vector<SendProbeCommand> m_probes;
+  std::vector<SyncResponseCommand> m_sync_responses;
+  std::vector<TokenResponseCommand> m_token_responses;
+  std::vector<LogEventCommand> m_events;
+};
+
+/// State and messages that the systems of a tick read and write.
 struct ControlContext {
   ControlTables& m_tables;
   const ControlInbox& m_inbox;
--- a/src/control/token_system.h
+++ b/src/control/token_system.h
@@ -7,16 +7,16 @@
 
 namespace foxtail {
 
-/// Hands out the tokens of each workspace's rate and burst. Tokens that are out
-/// count against the burst until they are given back or their life is over.
+/// Issues tokens within each workspace's rate and burst. Issued tokens count
+/// against the burst until they are returned or expire.
 class TokenSystem {
  public:
-  /// Answers all requests for tokens that arrived.
+  /// Responds to all token requests received since the last tick.
   void Run(ControlContext& context);
 
  private:
   uint64_t m_epoch = 0;
-  std::optional<TokenIssuer> m_holder;
+  std::optional<TokenIssuer> m_issuer;
 };
 
 }  // namespace foxtail
