--- a/src/apps/foxtail_control.cc
+++ b/src/apps/foxtail_control.cc
@@ -70,12 +70,14 @@
     if (request.m_target == "/sync") {
       SyncRequest message;
       DecodeMessage(request.m_body, message);
-      return BinaryResponse(EncodeMessage(m_loop.Sync(std::move(message))));
+      return BinaryResponse(
+          EncodeMessage(m_loop.HandleSync(std::move(message))));
     }
     if (request.m_target == "/tokens") {
       TokenRequest message;
       DecodeMessage(request.m_body, message);
-      return BinaryResponse(EncodeMessage(m_loop.Tokens(std::move(message))));
+      return BinaryResponse(
+          EncodeMessage(m_loop.HandleTokenRequest(std::move(message))));
     }
     if (request.m_target == "/rpc") {
       HttpResponse response;
@@ -127,7 +129,7 @@
       while (!stopping) {
         try {
           const PeerAnswer peer = rpc.Hello(address);
-          loop.NotePeer(peer.m_peer, peer.m_data_centre);
+          loop.RecordPeer(peer.m_peer, peer.m_data_centre);
         } catch (const Error&) {
           // A silent peer is forgotten after a while.
         }
@@ -162,7 +164,7 @@
         [&events] { events.Write(EventNumber::kSettingsKept, {}); });
     events.Write(EventNumber::kProcessStopping, {});
     stopping = true;
-    loop.Stop();
+    loop.BeginShutdown();
   });
   loop.Run();
   events.Write(EventNumber::kProcessStopped, {});
--- a/src/config/configuration.cc
+++ b/src/config/configuration.cc
@@ -9,7 +9,8 @@
 
 constexpr PartitionNumber kPinBit = 0x80000000U;
 
-// Multiply-shift maps 32 bits of a hash to equal ranges without a division.
+// Maps 32 bits of a hash to ranges of equal size by multiply and shift, without
+// a division.
 PartitionNumber RangeOfHash(const ServiceConfig& service, uint64_t hash) {
   return static_cast<PartitionNumber>((hash * service.m_partitions) >> 32U);
 }
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -7,13 +7,15 @@
 
 namespace foxtail {
 
-/// Whether a data centre or backend server takes work.
+/// Whether a data centre or backend server may own partitions.
 enum class ServingState {
   kServing,
+
+  /// Being drained: partitions move to other servers.
   kLeaving,
 };
 
-/// A data centre as the operators describe it.
+/// A data centre, as configured by the operators.
 struct DataCentreConfig {
   std::string m_name;
   ServingState m_state = ServingState::kServing;
@@ -28,8 +30,8 @@
   /// Path below the service's name, with a leading slash.
   std::string m_path;
 
-  /// Whether a request may run more than once (idempotent).
-  bool m_repeatable = false;
+  /// Whether a request may be executed more than once.
+  bool m_idempotent = false;
 
   bool operator==(const RouteConfig&) const = default;
 };
@@ -42,7 +44,7 @@
   std::string m_address;
   std::string m_data_centre;
 
-  /// Requests it runs at once.
+  /// Requests that the server executes concurrently.
   uint32_t m_slots = 1;
 
   /// Requests that may wait for a slot.
@@ -52,7 +54,7 @@
   bool operator==(const BackendServerConfig&) const = default;
 };
 
-/// A partition key that belongs to a named backend server.
+/// A partition key that is assigned to a named backend server.
 struct PinnedKeyConfig {
   std::string m_key;
   std::string m_server;
@@ -64,16 +66,16 @@
 struct ServiceConfig {
   std::string m_name;
 
-  /// Hash ranges that the key space is cut into.
+  /// Number of hash ranges that the key space is divided into.
   uint32_t m_partitions = 64;
 
-  /// Whether callers need no API key.
+  /// Whether clients may send requests without an API key.
   bool m_open = false;
 
   /// Whether the backend servers check grants and their fencing epochs.
   bool m_checks_fence = true;
 
-  /// Longest time a request may take, also the default.
+  /// Upper limit and default of a request's deadline.
   std::chrono::milliseconds m_max_deadline{800};
   std::vector<RouteConfig> m_routes;
   std::vector<BackendServerConfig> m_servers;
@@ -82,9 +84,9 @@
   bool operator==(const ServiceConfig&) const = default;
 };
 
-/// An API key, known only by its digest.
+/// An API key, of which only the digest is stored.
 struct ApiKeyConfig {
-  /// Name by which operators withdraw it.
+  /// Name by which operators revoke the key.
   std::string m_name;
 
   /// SHA-256 as 64 hexadecimal digits.
@@ -93,17 +95,17 @@
   bool operator==(const ApiKeyConfig&) const = default;
 };
 
-/// A workspace: a tenant with its keys and its rate over all hosts.
+/// A workspace: a tenant with its API keys and its rate limit over all hosts.
 struct WorkspaceConfig {
   std::string m_name;
 
-  /// Requests a second over all hosts together.
+  /// Requests per second, over all hosts together.
   double m_rate = 1;
 
-  /// Requests that may arrive at once.
+  /// Size of a burst, in requests.
   double m_burst = 1;
 
-  /// Share at a full backend server relative to other workspaces.
+  /// Share of a full backend server, relative to other workspaces.
   uint32_t m_weight = 1;
   std::vector<std::string> m_services;
   std::vector<ApiKeyConfig> m_api_keys;
@@ -111,7 +113,8 @@
   bool operator==(const WorkspaceConfig&) const = default;
 };
 
-/// Everything that operators state. A confirmed configuration has a version.
+/// Everything that operators configure. A confirmed configuration has a
+/// version.
 struct Configuration {
   std::vector<DataCentreConfig> m_data_centres;
   std::vector<ServiceConfig> m_services;
@@ -123,19 +126,21 @@
 /// Number of a hash partition or, with the top bit set, of a pinned key.
 using PartitionNumber = uint32_t;
 
-/// Returns the partition that owns a key: that of its pin, else its hash range.
+/// Returns the partition of a key: its own partition if it is pinned, otherwise
+/// its hash range.
 PartitionNumber PartitionOfKey(const ServiceConfig& service,
                                const std::string& key);
 
 /// Returns the partition number of a pinned key.
 PartitionNumber PartitionOfPin(const std::string& key);
 
-/// Returns the hash ranges that a pinned key may come from: one, or two
-/// neighbours, because a partition number lacks the lowest bit of the hash.
+/// Returns the hash ranges that may contain a pinned key: one, or two adjacent
+/// ones, because a partition number lacks the lowest bit of the hash.
 std::vector<PartitionNumber> HashRangesOfPin(const ServiceConfig& service,
                                              PartitionNumber pin);
 
-/// Returns whether a server takes work: neither it nor its data centre leaves.
+/// Returns whether a server may own partitions: neither the server nor its data
+/// centre is being drained.
 bool IsServing(const Configuration& configuration,
                const BackendServerConfig& server);
 
--- a/src/config/configuration_json.h
+++ b/src/config/configuration_json.h
@@ -9,12 +9,12 @@
 
 namespace foxtail {
 
-/// Encodes a configuration as the document operators write.
+/// Encodes a configuration as a document of the operators' JSON format.
 Json::Value ConfigurationToJson(const Configuration& configuration);
 
-/// Decodes and checks a document; adds every fault with its place. The result
-/// is usable only when no fault was added.
+/// Decodes and validates a document; adds every error with its path. The result
+/// is usable only if no error was added.
 Configuration ConfigurationFromJson(const Json::Value& document,
-                                    std::vector<IntentFault>& faults);
+                                    std::vector<ValidationError>& errors);
 
 }  // namespace foxtail
--- a/src/config/field_reader.cc
+++ b/src/config/field_reader.cc
@@ -5,8 +5,8 @@
 namespace foxtail {
 namespace {
 
-constexpr size_t kNameLimit = 64;   // characters
-constexpr size_t kTextLimit = 256;  // characters
+constexpr size_t kMaxNameLength = 64;   // characters
+constexpr size_t kMaxTextLength = 256;  // characters
 
 bool IsNameCharacter(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
@@ -16,11 +16,11 @@
 }  // namespace
 
 FieldReader::FieldReader(const Json::Value& object,
-                         std::string place,
-                         std::vector<IntentFault>& faults)
-    : m_object(object), m_place(std::move(place)), m_faults(faults) {
+                         std::string path,
+                         std::vector<ValidationError>& errors)
+    : m_object(object), m_path(std::move(path)), m_errors(errors) {
   if (!m_object.isObject()) {
-    m_faults.push_back({m_place, "must be an object"});
+    m_errors.push_back({m_path, "must be an object"});
   }
 }
 
@@ -29,104 +29,103 @@
     return;
   }
   for (const std::string& member : m_object.getMemberNames()) {
-    if (!m_known.contains(member)) {
-      Fault(member.c_str(), "unknown field");
+    if (!m_read_fields.contains(member)) {
+      AddError(member.c_str(), "unknown field");
     }
   }
 }
 
-const Json::Value& FieldReader::Member(const char* field) {
-  m_known.insert(field);
+const Json::Value& FieldReader::GetMember(const char* field) {
+  m_read_fields.insert(field);
   static const Json::Value null;
   return m_object.isObject() ? m_object[field] : null;
 }
 
-std::string FieldReader::PlaceOf(const char* field) const {
-  return m_place.empty() ? field : m_place + "." + field;
+std::string FieldReader::PathOf(const char* field) const {
+  return m_path.empty() ? field : m_path + "." + field;
 }
 
-void FieldReader::Fault(const char* field, const std::string& reason) {
-  m_faults.push_back({PlaceOf(field), reason});
+void FieldReader::AddError(const char* field, const std::string& reason) {
+  m_errors.push_back({PathOf(field), reason});
 }
 
-std::string FieldReader::Text(const char* field) {
-  const Json::Value& value = Member(field);
+std::string FieldReader::ReadText(const char* field) {
+  const Json::Value& value = GetMember(field);
   if (!value.isString() || value.asString().empty() ||
-      value.asString().size() > kTextLimit) {
-    Fault(field, "must be a text of 1 to 256 characters");
+      value.asString().size() > kMaxTextLength) {
+    AddError(field, "must be a text of 1 to 256 characters");
     return "";
   }
   return value.asString();
 }
 
-std::string FieldReader::Name(const char* field) {
-  const Json::Value& value = Member(field);
+std::string FieldReader::ReadName(const char* field) {
+  const Json::Value& value = GetMember(field);
   const std::string text = value.isString() ? value.asString() : "";
-  if (text.empty() || text.size() > kNameLimit ||
+  if (text.empty() || text.size() > kMaxNameLength ||
       !std::ranges::all_of(text, IsNameCharacter)) {
-    Fault(field, "must be 1 to 64 letters, digits, '.', '-' or '_'");
+    AddError(field, "must be 1 to 64 letters, digits, '.', '-' or '_'");
     return "";
   }
   return text;
 }
 
-uint32_t FieldReader::Number(const char* field,
-                             uint32_t fallback,
-                             uint32_t low,
-                             uint32_t high) {
-  const Json::Value& value = Member(field);
+uint32_t FieldReader::ReadInteger(const char* field,
+                                  uint32_t fallback,
+                                  uint32_t min,
+                                  uint32_t max) {
+  const Json::Value& value = GetMember(field);
   if (value.isNull()) {
     return fallback;
   }
-  if (!value.isUInt() || value.asUInt() < low || value.asUInt() > high) {
-    Fault(field, "must be a whole number from " + std::to_string(low) + " to " +
-                     std::to_string(high));
+  if (!value.isUInt() || value.asUInt() < min || value.asUInt() > max) {
+    AddError(field, "must be a whole number from " + std::to_string(min) +
+                        " to " + std::to_string(max));
     return fallback;
   }
   return value.asUInt();
 }
 
-double FieldReader::Positive(const char* field, double high) {
-  const Json::Value& value = Member(field);
-  if (!value.isNumeric() || !(value.asDouble() > 0) ||
-      value.asDouble() > high) {
-    Fault(field, "must be a number above 0 and at most " +
-                     std::to_string(static_cast<int64_t>(high)));
+double FieldReader::ReadPositive(const char* field, double max) {
+  const Json::Value& value = GetMember(field);
+  if (!value.isNumeric() || !(value.asDouble() > 0) || value.asDouble() > max) {
+    AddError(field, "must be a number above 0 and at most " +
+                        std::to_string(static_cast<int64_t>(max)));
     return 1;
   }
   return value.asDouble();
 }
 
-bool FieldReader::Flag(const char* field, bool fallback) {
-  const Json::Value& value = Member(field);
+bool FieldReader::ReadBool(const char* field, bool fallback) {
+  const Json::Value& value = GetMember(field);
   if (value.isNull()) {
     return fallback;
   }
   if (!value.isBool()) {
-    Fault(field, "must be true or false");
+    AddError(field, "must be true or false");
     return fallback;
   }
   return value.asBool();
 }
 
-size_t FieldReader::Word(const char* field,
-                         const std::vector<std::string>& words) {
-  const Json::Value& value = Member(field);
+size_t FieldReader::ReadChoice(const char* field,
+                               const std::vector<std::string>& choices) {
+  const Json::Value& value = GetMember(field);
   if (value.isNull()) {
     return 0;
   }
   const auto found = value.isString()
-                         ? std::ranges::find(words, value.asString())
-                         : words.end();
-  if (found == words.end()) {
+                         ? std::ranges::find(choices, value.asString())
+                         : choices.end();
+  if (found == choices.end()) {
     std::string allowed;
-    for (const std::string& word : words) {
-      allowed += (allowed.empty() ? "" : ", ") + word;
+    for (const std::string& choice : choices) {
+      allowed += (allowed.empty() ? "" : ", ") + choice;
     }
-    Fault(field, "must be one of: " + allowed);
+    AddError(field, "must be one of: " + allowed);
     return 0;
   }
-  return static_cast<size_t>(found - words.begin());
+  return static_cast<size_t>(found - choices.begin());
 }
 
 }  // namespace foxtail
--- a/src/control/plan_builder.cc
+++ b/src/control/plan_builder.cc
@@ -27,7 +27,7 @@
 
 bool ReadState(const IntentChange& change,
                ServingState& state,
-               std::vector<IntentFault>& faults) {
+               std::vector<ValidationError>& faults) {
   if (change.m_state == "serving") {
     state = ServingState::kServing;
   } else if (change.m_state == "leaving") {
@@ -41,7 +41,7 @@
 
 void ChangeDataCentre(const IntentChange& change,
                       Configuration& configuration,
-                      std::vector<IntentFault>& faults) {
+                      std::vector<ValidationError>& faults) {
   auto* row = FindNamed(configuration.m_data_centres, change.m_name);
   if (!row) {
     faults.push_back({"name", "no data centre '" + change.m_name + "'"});
@@ -52,7 +52,7 @@
 
 void ChangeServer(const IntentChange& change,
                   Configuration& configuration,
-                  std::vector<IntentFault>& faults) {
+                  std::vector<ValidationError>& faults) {
   auto* service = FindNamed(configuration.m_services, change.m_service);
   auto* server =
       service ? FindNamed(service->m_servers, change.m_name) : nullptr;
@@ -66,7 +66,7 @@
 
 void GrantKey(const IntentChange& change,
               Configuration& configuration,
-              std::vector<IntentFault>& faults) {
+              std::vector<ValidationError>& faults) {
   auto* workspace = FindNamed(configuration.m_workspaces, change.m_workspace);
   if (!workspace) {
     faults.push_back(
@@ -78,7 +78,7 @@
 
 void WithdrawKey(const IntentChange& change,
                  Configuration& configuration,
-                 std::vector<IntentFault>& faults) {
+                 std::vector<ValidationError>& faults) {
   auto* workspace = FindNamed(configuration.m_workspaces, change.m_workspace);
   if (!workspace || !FindNamed(workspace->m_api_keys, change.m_name)) {
     faults.push_back({"name", "no key '" + change.m_name + "' in workspace '" +
@@ -94,7 +94,7 @@
   const char* m_kind;
   void (*m_apply)(const IntentChange&,
                   Configuration&,
-                  std::vector<IntentFault>&);
+                  std::vector<ValidationError>&);
 };
 
 constexpr std::array<ChangeKind, 4> kChangeKinds = {{
@@ -179,7 +179,7 @@
 
 void ApplyChange(const IntentChange& change,
                  Configuration& configuration,
-                 std::vector<IntentFault>& faults) {
+                 std::vector<ValidationError>& faults) {
   for (const ChangeKind& kind : kChangeKinds) {
     if (change.m_kind == kind.m_kind) {
       kind.m_apply(change, configuration, faults);
@@ -193,7 +193,7 @@
 
 void CheckAgainst(const Configuration& base,
                   const Configuration& proposed,
-                  std::vector<IntentFault>& faults) {
+                  std::vector<ValidationError>& faults) {
   for (const ServiceConfig& service : proposed.m_services) {
     const ServiceConfig* before = FindService(base, service.m_name);
     if (before && before->m_partitions != service.m_partitions) {
--- a/src/control/plan_builder.h
+++ b/src/control/plan_builder.h
@@ -34,12 +34,12 @@
 /// Applies one change to a configuration; adds faults when it cannot.
 void ApplyChange(const IntentChange& change,
                  Configuration& configuration,
-                 std::vector<IntentFault>& faults);
+                 std::vector<ValidationError>& faults);
 
 /// Adds the faults that only show against the configuration in force.
 void CheckAgainst(const Configuration& base,
                   const Configuration& proposed,
-                  std::vector<IntentFault>& faults);
+                  std::vector<ValidationError>& faults);
 
 /// Returns one line per difference between two configurations.
 std::vector<std::string> DescribeChanges(const Configuration& base,
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -77,7 +77,7 @@
   }
 }
 
-void ControlLoop::Stop() {
+void ControlLoop::BeginShutdown() {
   m_tables.m_stopping = true;
   m_arrived.Notify();
 }
@@ -226,7 +226,7 @@
   }
 }
 
-SyncResponse ControlLoop::Sync(SyncRequest request) {
+SyncResponse ControlLoop::HandleSync(SyncRequest request) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_syncs[handle].get_future();
   m_inbox.m_syncs.push_back({handle, std::move(request), Clock::now()});
@@ -234,7 +234,7 @@
   return answer.get();
 }
 
-TokenResponse ControlLoop::Tokens(TokenRequest request) {
+TokenResponse ControlLoop::HandleTokenRequest(TokenRequest request) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_tokens[handle].get_future();
   m_inbox.m_tokens.push_back({handle, std::move(request), Clock::now()});
@@ -242,9 +242,9 @@
   return answer.get();
 }
 
-bool ControlLoop::Promise(const std::string& cell,
-                          const ControlInstance& holder,
-                          uint64_t epoch) {
+bool ControlLoop::HandlePromiseRequest(const std::string& cell,
+                                       const ControlInstance& holder,
+                                       uint64_t epoch) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_promises[handle].get_future();
   m_inbox.m_promises_asked.push_back({handle, cell, holder, epoch});
@@ -252,8 +252,8 @@
   return answer.get();
 }
 
-void ControlLoop::NotePeer(const ControlInstance& peer,
-                           const std::string& data_centre) {
+void ControlLoop::RecordPeer(const ControlInstance& peer,
+                             const std::string& data_centre) {
   m_inbox.m_peers.push_back({peer, data_centre});
 }
 
--- a/src/daemon/control_loop.h
+++ b/src/daemon/control_loop.h
@@ -25,25 +25,25 @@
               PlatformStore& store,
               EventLog& events);
 
-  /// Runs ticks until `Stop` and all leases are given back.
+  /// Runs ticks until `BeginShutdown` and all leases are given back.
   void Run();
 
   /// Begins a planned stop: leases are given back.
-  void Stop();
+  void BeginShutdown();
 
   /// Answers a dispatcher's sync request; waits until there is an answer.
-  SyncResponse Sync(SyncRequest request);
+  SyncResponse HandleSync(SyncRequest request);
 
   /// Answers an entry's request for tokens.
-  TokenResponse Tokens(TokenRequest request);
+  TokenResponse HandleTokenRequest(TokenRequest request);
 
   /// Answers a holder that asks for a promise.
-  bool Promise(const std::string& cell,
-               const ControlInstance& holder,
-               uint64_t epoch);
+  bool HandlePromiseRequest(const std::string& cell,
+                            const ControlInstance& holder,
+                            uint64_t epoch);
 
   /// Notes another control process.
-  void NotePeer(const ControlInstance& peer, const std::string& data_centre);
+  void RecordPeer(const ControlInstance& peer, const std::string& data_centre);
 
   /// Reads the configuration again at once.
   void PollConfig();
--- a/src/daemon/control_rpc.cc
+++ b/src/daemon/control_rpc.cc
@@ -100,11 +100,11 @@
   Answer(result, [&] {
     const bool addressed = parameters["standby"].asString() ==
                            m_loop.GetTables().m_self.m_instance;
-    return Json::Value(addressed &&
-                       m_loop.Promise(parameters["cell"].asString(),
-                                      {parameters["instance"].asString(),
-                                       parameters["address"].asString()},
-                                      parameters["epoch"].asUInt64()));
+    return Json::Value(addressed && m_loop.HandlePromiseRequest(
+                                        parameters["cell"].asString(),
+                                        {parameters["instance"].asString(),
+                                         parameters["address"].asString()},
+                                        parameters["epoch"].asUInt64()));
   });
 }
 
@@ -161,7 +161,7 @@
 
 void ControlRpc::Status(const Json::Value&, Json::Value& result) {
   Answer(result,
-         [&] { return StatusReport(m_loop.GetTables(), Clock::now()); });
+         [&] { return BuildStatusReport(m_loop.GetTables(), Clock::now()); });
 }
 
 void ControlRpc::Explain(const Json::Value& parameters, Json::Value& result) {
--- a/src/daemon/operator_service.cc
+++ b/src/daemon/operator_service.cc
@@ -42,15 +42,15 @@
   throw Error(ErrorCode::kPlatformUnavailable, Execution::kNotRun, key.m_key);
 }
 
-std::string FaultText(const std::vector<IntentFault>& faults) {
+std::string FaultText(const std::vector<ValidationError>& faults) {
   std::string text = std::to_string(faults.size()) + " faults";
-  for (const IntentFault& fault : faults) {
-    text += "\n  " + fault.m_place + ": " + fault.m_reason;
+  for (const ValidationError& fault : faults) {
+    text += "\n  " + fault.m_path + ": " + fault.m_reason;
   }
   return text;
 }
 
-void ThrowFaults(const std::vector<IntentFault>& faults) {
+void ThrowFaults(const std::vector<ValidationError>& faults) {
   if (!faults.empty()) {
     throw Error(ErrorCode::kIntentInvalid, FaultText(faults));
   }
@@ -100,7 +100,7 @@
 }
 
 PlanRecord OperatorService::ProposeDocument(const Json::Value& document) {
-  std::vector<IntentFault> faults;
+  std::vector<ValidationError> faults;
   const Configuration proposed = ConfigurationFromJson(document, faults);
   ThrowFaults(faults);
   uint64_t version = 0;
@@ -112,7 +112,7 @@
   uint64_t version = 0;
   const Configuration base = ReadConfiguration(version);
   Configuration proposed = base;
-  std::vector<IntentFault> faults;
+  std::vector<ValidationError> faults;
   ApplyChange(change, proposed, faults);
   ThrowFaults(faults);
   ConfigurationFromJson(ConfigurationToJson(proposed), faults);
@@ -125,7 +125,7 @@
                                       const Configuration& base,
                                       uint64_t base_version,
                                       const Configuration& proposed) {
-  std::vector<IntentFault> faults;
+  std::vector<ValidationError> faults;
   CheckAgainst(base, proposed, faults);
   ThrowFaults(faults);
   PlanRecord plan;
--- a/src/daemon/status_report.cc
+++ b/src/daemon/status_report.cc
@@ -115,7 +115,7 @@
 
 }  // namespace
 
-Json::Value StatusReport(const ControlTables& tables, TimePoint now) {
+Json::Value BuildStatusReport(const ControlTables& tables, TimePoint now) {
   Json::Value report;
   report["instance"] = tables.m_self.m_instance;
   report["address"] = tables.m_self.m_address;
--- a/src/daemon/status_report.h
+++ b/src/daemon/status_report.h
@@ -11,7 +11,7 @@
 
 /// Describes what this control process knows: its cells, and for those it
 /// controls their servers, partitions and dispatchers.
-Json::Value StatusReport(const ControlTables& tables, TimePoint now);
+Json::Value BuildStatusReport(const ControlTables& tables, TimePoint now);
 
 /// Explains where a key is served and why. Throws `Error(kNotController)` when
 /// this process does not control the service's cell.
--- a/src/entry/caller_handler.cc
+++ b/src/entry/caller_handler.cc
@@ -168,7 +168,7 @@
                 request.m_method + " /" + call.m_service + path);
   }
   call.m_query.m_cell = call.m_service;
-  call.m_query.m_repeatable = route->m_repeatable;
+  call.m_query.m_idempotent = route->m_idempotent;
 }
 
 void CallerHandler::Authorize(const HttpRequest& request, Call& call) {
@@ -196,7 +196,7 @@
   }
   call.m_key = *key;
   const auto id = request.m_headers.Get(kCallerIdHeader);
-  if (id && !call.m_query.m_repeatable) {
+  if (id && !call.m_query.m_idempotent) {
     call.m_query.m_id = ParseRequestId(*id, now.m_wall, kIdAhead);
   } else {
     call.m_query.m_id = MakeRequestId(now.m_wall);
@@ -295,11 +295,11 @@
       return not_run;
     case ErrorCode::kNetwork:
     case ErrorCode::kDispatcherLost:
-      return not_run || (call.m_query.m_repeatable && m_retries.TryRetry());
+      return not_run || (call.m_query.m_idempotent && m_retries.TryRetry());
     case ErrorCode::kServerRefused:
       return not_run && m_retries.TryRetry();
     case ErrorCode::kServerLost:
-      return call.m_query.m_repeatable && m_retries.TryRetry();
+      return call.m_query.m_idempotent && m_retries.TryRetry();
     default:
       return false;
   }
--- a/src/entry/forwarding.cc
+++ b/src/entry/forwarding.cc
@@ -147,7 +147,7 @@
   headers.Set(kRequestIdHeader, query.m_id.m_text);
   headers.Set(kIssuedHeader,
               std::to_string(query.m_id.m_issued.time_since_epoch().count()));
-  headers.Set(kRepeatableHeader, query.m_repeatable ? "1" : "0");
+  headers.Set(kRepeatableHeader, query.m_idempotent ? "1" : "0");
   headers.Set(kFreshHeader, query.m_fresh ? "1" : "0");
   headers.Set(kDeadlineHeader,
               std::to_string(RemainingTime(query.m_deadline, now).count()));
@@ -163,7 +163,7 @@
   query.m_id.m_text = request.m_headers.GetOr(kRequestIdHeader, "");
   query.m_id.m_issued =
       WallTime(milliseconds(NumberOf<int64_t>(request, kIssuedHeader)));
-  query.m_repeatable = NumberOf<int>(request, kRepeatableHeader) != 0;
+  query.m_idempotent = NumberOf<int>(request, kRepeatableHeader) != 0;
   query.m_fresh = NumberOf<int>(request, kFreshHeader) != 0;
   query.m_deadline =
       now + milliseconds(NumberOf<int64_t>(request, kDeadlineHeader));
--- a/src/messages/codec.cc
+++ b/src/messages/codec.cc
@@ -58,7 +58,7 @@
 
 template <typename Archive>
 void serialize(Archive& archive, RouteConfig& m) {  // NOLINT
-  archive(m.m_method, m.m_path, m.m_repeatable);
+  archive(m.m_method, m.m_path, m.m_idempotent);
 }
 
 template <typename Archive>
--- a/src/store/record_json.cc
+++ b/src/store/record_json.cc
@@ -80,10 +80,10 @@
 };
 
 Configuration DecodeConfiguration(const Json::Value& document) {
-  std::vector<IntentFault> faults;
+  std::vector<ValidationError> faults;
   Configuration configuration = ConfigurationFromJson(document, faults);
   if (!faults.empty()) {
-    throw Error(ErrorCode::kMessageMalformed, faults.front().m_place);
+    throw Error(ErrorCode::kMessageMalformed, faults.front().m_path);
   }
   return configuration;
 }
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -282,7 +282,7 @@
   if (!slot_free && waiting >= route.m_queue) {
     throw Error(ErrorCode::kServerQueueFull, server.m_name);
   }
-  if (!query.m_repeatable) {
+  if (!query.m_idempotent) {
     cell->m_seen.at(query.m_partition)
         .m_registry.Accept(query.m_id, query.m_fresh, now.m_wall);
   }
@@ -302,7 +302,7 @@
     row->m_queue->Remove(ticket);
     row->m_suspect_queue.Remove(ticket);
   }
-  if (query.m_repeatable) {
+  if (query.m_idempotent) {
     return;
   }
   TrafficCellRow* cell =
--- a/src/traffic/dispatch_system.h
+++ b/src/traffic/dispatch_system.h
@@ -36,7 +36,7 @@
   std::string m_workspace;
   uint32_t m_weight = 1;
   RequestId m_id;
-  bool m_repeatable = false;
+  bool m_idempotent = false;
 
   /// The entry made the id itself and never sent it before, so no dispatcher
   /// can have seen it.
--- a/tests/control/control_test.cc
+++ b/tests/control/control_test.cc
@@ -141,7 +141,7 @@
     assignment.m_owners.push_back(
         {i, "server-" + std::to_string(i % 4), 1, ""});
   }
-  std::vector<IntentFault> faults;
+  std::vector<ValidationError> faults;
   ApplyChange({"data_centre", "dc-1", "", "", "leaving", ""},
               plan.m_configuration, faults);
   ASSERT_TRUE(faults.empty());
@@ -156,10 +156,10 @@
   for (BackendServerConfig& server : proposed.m_services[0].m_servers) {
     server.m_state = ServingState::kLeaving;
   }
-  std::vector<IntentFault> faults;
+  std::vector<ValidationError> faults;
   CheckAgainst(OneService(), proposed, faults);
   ASSERT_EQ(faults.size(), 1U);
-  EXPECT_EQ(faults[0].m_place, "services.catalogue.servers");
+  EXPECT_EQ(faults[0].m_path, "services.catalogue.servers");
 }
 
 }  // namespace
--- a/tests/integration/faults_test.cc
+++ b/tests/integration/faults_test.cc
@@ -129,7 +129,7 @@
   std::vector<TestAnswer> answers;
   for (int round = 0; round < 2; ++round) {
     TestRequest order;
-    order.m_repeatable = false;
+    order.m_idempotent = false;
     order.m_id = NewRequestId("order-" + std::to_string(round));
     Json::Value where;
     where["service"] = "catalogue";
@@ -171,7 +171,7 @@
   std::vector<TestRequest> orders;
   for (int i = 0; i < 40; ++i) {
     TestRequest order;
-    order.m_repeatable = false;
+    order.m_idempotent = false;
     order.m_key = "key-" + std::to_string(i);
     order.m_id = NewRequestId("moved-" + std::to_string(i));
     orders.push_back(order);
--- a/tests/integration/path_test.cc
+++ b/tests/integration/path_test.cc
@@ -72,7 +72,7 @@
 
 TEST_F(PathTest, BackendSeesIdentityButNoKey) {
   TestRequest request;
-  request.m_repeatable = false;
+  request.m_idempotent = false;
   request.m_id = NewRequestId("identity");
   ASSERT_EQ(Send(request).m_status, 200);
   std::string seen;
@@ -153,7 +153,7 @@
 
 TEST_F(PathTest, OldIdCannotBeVerified) {
   TestRequest request;
-  request.m_repeatable = false;
+  request.m_idempotent = false;
   request.m_id = "1234567890123-long-ago";
   const TestAnswer answer = Send(request);
   EXPECT_EQ(answer.m_error, "request_unverifiable");
--- a/tests/support/load.cc
+++ b/tests/support/load.cc
@@ -18,9 +18,9 @@
 
 HttpRequest BuildRequest(const TestRequest& request) {
   HttpRequest http;
-  http.m_method = request.m_repeatable ? "GET" : "POST";
+  http.m_method = request.m_idempotent ? "GET" : "POST";
   http.m_target =
-      "/" + request.m_service + (request.m_repeatable ? "/read" : "/order");
+      "/" + request.m_service + (request.m_idempotent ? "/read" : "/order");
   if (!request.m_body.empty()) {
     http.m_method = "POST";
   }
@@ -102,7 +102,7 @@
     request.m_workspace =
         m_settings.m_workspaces[random() % m_settings.m_workspaces.size()];
     request.m_key = "key-" + std::to_string(random() % m_settings.m_keys);
-    request.m_repeatable = random() % 100 >= m_settings.m_orders;
+    request.m_idempotent = random() % 100 >= m_settings.m_orders;
     request.m_id =
         NewRequestId(std::to_string(index) + "-" + std::to_string(++sent));
     m_answers.push_back(SendRequest(m_cluster, m_client, request));
@@ -130,7 +130,7 @@
       ++kinds["host " + std::to_string(answer.m_request.m_host) + " " +
               std::to_string(answer.m_status) + " " + answer.m_error + " " +
               answer.m_execution +
-              (answer.m_request.m_repeatable ? " read" : " order")];
+              (answer.m_request.m_idempotent ? " read" : " order")];
     }
   }
   std::string text;
@@ -184,13 +184,13 @@
   for (const TestAnswer& answer : answers) {
     const std::string& id = answer.m_request.m_id;
     const size_t ran = effects[id];
-    if (!answer.m_request.m_repeatable && ran > 1) {
+    if (!answer.m_request.m_idempotent && ran > 1) {
       return "ran " + std::to_string(ran) + " times: " + id;
     }
     if (answer.m_execution == "not_run" && ran > 0) {
       return "told not run, but it ran: " + id + " " + answer.m_error;
     }
-    if (answer.m_status == kStatusOk && !answer.m_request.m_repeatable &&
+    if (answer.m_status == kStatusOk && !answer.m_request.m_idempotent &&
         ran != 1) {
       return "told that it ran, but it did not: " + id;
     }
@@ -210,7 +210,7 @@
         body["echo"].asString() != answer.m_request.m_body) {
       return answer.m_request.m_id + " got " + answer.m_body;
     }
-    if (!answer.m_request.m_repeatable &&
+    if (!answer.m_request.m_idempotent &&
         body["request"].asString() != answer.m_request.m_id) {
       return answer.m_request.m_id + " got " + answer.m_body;
     }
--- a/tests/support/load.h
+++ b/tests/support/load.h
@@ -17,7 +17,7 @@
   std::string m_key = "key-1";
 
   /// Whether it may be repeated (GET /read) or not (POST /order).
-  bool m_repeatable = true;
+  bool m_idempotent = true;
 
   /// Request id; empty means none.
   std::string m_id;
--- a/tests/traffic/dispatch_system_test.cc
+++ b/tests/traffic/dispatch_system_test.cc
@@ -44,7 +44,7 @@
     DispatchQuery query;
     query.m_cell = "cell";
     query.m_id = {"1700000000000-" + name, m_now.m_wall};
-    query.m_repeatable = repeatable;
+    query.m_idempotent = repeatable;
     query.m_fingerprint = std::hash<std::string>()(name);
     query.m_deadline = m_now.m_steady + milliseconds(500);
     return query;
