--- a/src/ctl/ctl_commands.cc
+++ b/src/ctl/ctl_commands.cc
@@ -18,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kWaitPoll{100};
+constexpr milliseconds kWaitPollPeriod{100};
 
 Json::Value ReadDocument(const std::string& path) {
   std::ifstream file(path);
@@ -33,17 +33,19 @@
 
 }  // namespace
 
-// A verb, the words it is called by and how many words follow.
-struct CtlCommands::Verb {
+// A command: its name of one or two words, the number of arguments after the
+// name, and its handler.
+struct CtlCommands::Command {
   const char* m_first;
   const char* m_second;
-  size_t m_arguments;
-  Command m_command;
-
-  bool Matches(const std::vector<std::string>& words) const {
-    const size_t own = m_second ? 2 : 1;
-    return words[0] == m_first && words.size() == own + m_arguments &&
-           (!m_second || words[1] == m_second);
+  size_t m_argument_count;
+  Handler m_handler;
+
+  bool Matches(const std::vector<std::string>& arguments) const {
+    const size_t name_length = m_second ? 2 : 1;
+    return arguments[0] == m_first &&
+           arguments.size() == name_length + m_argument_count &&
+           (!m_second || arguments[1] == m_second);
   }
 };
 
@@ -53,7 +55,7 @@
       m_rpc(m_client, settings.m_cluster_secret, settings.m_timeout) {}
 
 int CtlCommands::Run() {
-  static constexpr std::array<Verb, 14> kVerbs = {{
+  static constexpr std::array<Command, 14> kCommands = {{
       {"apply", nullptr, 1, &CtlCommands::Apply},
       {"plan", "show", 1, &CtlCommands::PlanShow},
       {"confirm", nullptr, 1, &CtlCommands::Confirm},
@@ -69,19 +71,19 @@
       {"cell", "release", 1, &CtlCommands::CellRelease},
       {"history", nullptr, 0, &CtlCommands::History},
   }};
-  for (const Verb& verb : kVerbs) {
-    if (verb.Matches(m_settings.m_words)) {
-      return (this->*verb.m_command)();
+  for (const Command& command : kCommands) {
+    if (command.Matches(m_settings.m_arguments)) {
+      return (this->*command.m_handler)();
     }
   }
   throw Error(ErrorCode::kSettingInvalid,
               "verb = '" +
-                  fmt::format("{}", fmt::join(m_settings.m_words, " ")) +
+                  fmt::format("{}", fmt::join(m_settings.m_arguments, " ")) +
                   "'; allowed: the verbs listed by --help");
 }
 
-const std::string& CtlCommands::Word(size_t index) const {
-  return m_settings.m_words.at(index);
+const std::string& CtlCommands::Argument(size_t index) const {
+  return m_settings.m_arguments.at(index);
 }
 
 Json::Value CtlCommands::CallAny(const std::string& method,
@@ -90,11 +92,12 @@
     try {
       return m_rpc.Call(control, method, parameters);
     } catch (const Error& error) {
-      // Another process is asked only if this one surely did nothing.
-      const bool next = error.GetCode() == ErrorCode::kNotController ||
-                        (error.GetCode() == ErrorCode::kNetwork &&
-                         error.GetExecution() == Execution::kNotRun);
-      if (!next || control == m_settings.m_controls.back()) {
+      // Another process is called only if this one is known not to have
+      // executed the request.
+      const bool try_next = error.GetCode() == ErrorCode::kNotController ||
+                            (error.GetCode() == ErrorCode::kNetwork &&
+                             error.GetExecution() == Execution::kNotRun);
+      if (!try_next || control == m_settings.m_controls.back()) {
         throw;
       }
     }
@@ -104,26 +107,26 @@
 
 int CtlCommands::Apply() {
   Json::Value parameters;
-  parameters["document"] = ReadDocument(Word(1));
+  parameters["document"] = ReadDocument(Argument(1));
   return FinishProposal(CallAny("apply", parameters));
 }
 
 int CtlCommands::PlanShow() {
   Json::Value parameters;
-  parameters["plan"] = Word(2);
+  parameters["plan"] = Argument(2);
   PrintPlan(CallAny("plan_show", parameters));
   return kExitDone;
 }
 
 int CtlCommands::Confirm() {
-  return ConfirmPlan(Word(1));
+  return ConfirmPlan(Argument(1));
 }
 
 int CtlCommands::Abandon() {
   Json::Value parameters;
-  parameters["plan"] = Word(1);
+  parameters["plan"] = Argument(1);
   CallAny("abandon", parameters);
-  m_out << "abandoned " << Word(1) << "\n";
+  m_out << "abandoned " << Argument(1) << "\n";
   return kExitDone;
 }
 
@@ -142,8 +145,8 @@
 int CtlCommands::ConfirmPlan(const std::string& plan) {
   Json::Value parameters;
   parameters["plan"] = plan;
-  const Json::Value answer = CallAny("confirm", parameters);
-  const uint64_t version = answer["version"].asUInt64();
+  const Json::Value response = CallAny("confirm", parameters);
+  const uint64_t version = response["version"].asUInt64();
   m_out << "version " << version << " is confirmed\n";
   return m_settings.m_wait ? WaitInForce(version) : kExitDone;
 }
@@ -154,20 +157,20 @@
   size_t last_behind = SIZE_MAX;
   while (Clock::now() < start + m_settings.m_timeout) {
     behind.clear();
-    size_t heard = 0;
-    if (IsInForce(version, behind, heard)) {
-      const auto took =
+    size_t process_count = 0;
+    if (IsInForce(version, behind, process_count)) {
+      const auto elapsed =
           std::chrono::duration_cast<milliseconds>(Clock::now() - start);
-      m_out << "in force at all " << heard << " processes after "
-            << took.count() << " ms\n";
+      m_out << "in force at all " << process_count << " processes after "
+            << elapsed.count() << " ms\n";
       return kExitDone;
     }
     if (behind.size() != last_behind) {
       last_behind = behind.size();
-      m_out << "waiting for " << last_behind << " of " << heard
+      m_out << "waiting for " << last_behind << " of " << process_count
             << " processes\n";
     }
-    boost::this_fiber::sleep_for(kWaitPoll);
+    boost::this_fiber::sleep_for(kWaitPollPeriod);
   }
   for (const std::string& process : behind) {
     m_out << "not in force: " << process << "\n";
@@ -175,17 +178,18 @@
   return kExitTimeout;
 }
 
-// Asks every control process; each knows the dispatchers of the cells it holds.
-// A cell that nobody holds, or that no entry reports to, is not in force.
+// Queries every control process, as each reports only the dispatchers of the
+// cells that it controls. The version is not in force in a cell without a
+// controller, or if no entry reports to the cell's controller.
 bool CtlCommands::IsInForce(uint64_t version,
                             std::set<std::string>& behind,
-                            size_t& heard) {
-  std::set<std::string> all;
+                            size_t& process_count) {
+  std::set<std::string> processes;
   std::set<std::string> cells;
-  std::set<std::string> served;
-  const auto note = [&](const std::string& process, uint64_t has) {
-    all.insert(process);
-    if (has < version) {
+  std::set<std::string> reported_cells;
+  const auto record = [&](const std::string& process, uint64_t in_force) {
+    processes.insert(process);
+    if (in_force < version) {
       behind.insert(process);
     }
   };
@@ -194,49 +198,50 @@
     try {
       report = m_rpc.Call(control, "status", Json::Value(Json::objectValue));
     } catch (const Error&) {
-      all.insert("control " + control);
+      processes.insert("control " + control);
       behind.insert("control " + control + " (no answer)");
       continue;
     }
-    note("control " + control, report["configuration"].asUInt64());
+    record("control " + control, report["configuration"].asUInt64());
     for (const Json::Value& cell : report["cells"]) {
       const std::string name = cell["cell"].asString();
       cells.insert(name);
       for (const Json::Value& dispatcher : cell["dispatchers"]) {
-        served.insert(name);
-        note("entry " + dispatcher["address"].asString() + " for " + name,
-             dispatcher["configuration"].asUInt64());
+        reported_cells.insert(name);
+        record("entry " + dispatcher["address"].asString() + " for " + name,
+               dispatcher["configuration"].asUInt64());
       }
     }
   }
   for (const std::string& cell : cells) {
-    if (!served.contains(cell)) {
+    if (!reported_cells.contains(cell)) {
       behind.insert("cell " + cell + " (no entry reports to a controller)");
     }
   }
-  heard = all.size();
+  process_count = processes.size();
   return behind.empty() && !cells.empty();
 }
 
 int CtlCommands::Status() {
-  Json::Value all(Json::arrayValue);
+  Json::Value reports(Json::arrayValue);
   for (const std::string& control : m_settings.m_controls) {
     try {
-      all.append(m_rpc.Call(control, "status", Json::Value(Json::objectValue)));
+      reports.append(
+          m_rpc.Call(control, "status", Json::Value(Json::objectValue)));
     } catch (const Error& error) {
-      Json::Value silent;
-      silent["address"] = control;
-      silent["error"] = std::string(InfoOf(error.GetCode()).m_name);
-      all.append(silent);
+      Json::Value unreachable;
+      unreachable["address"] = control;
+      unreachable["error"] = std::string(InfoOf(error.GetCode()).m_name);
+      reports.append(unreachable);
     }
   }
   if (m_settings.m_json) {
-    m_out << JsonPretty(all) << "\n";
+    m_out << JsonPretty(reports) << "\n";
     return kExitDone;
   }
   m_out << fmt::format("{:<22} {:<12} {:>13} {:>6}\n", "CONTROL", "DATA CENTRE",
                        "CONFIGURATION", "PEERS");
-  for (const Json::Value& report : all) {
+  for (const Json::Value& report : reports) {
     if (report.isMember("error")) {
       m_out << fmt::format("{:<22} {}\n", report["address"].asString(),
                            report["error"].asString());
@@ -247,7 +252,7 @@
         report["data_centre"].asString(), report["configuration"].asUInt64(),
         report["peers"].asUInt64());
   }
-  for (const Json::Value& report : all) {
+  for (const Json::Value& report : reports) {
     for (const Json::Value& cell : report["cells"]) {
       if (cell["holding"].asBool()) {
         PrintCell(cell);
@@ -294,24 +299,25 @@
 
 int CtlCommands::Explain() {
   Json::Value parameters;
-  parameters["service"] = Word(1);
-  parameters["key"] = Word(2);
-  const Json::Value answer = CallAny("explain", parameters);
+  parameters["service"] = Argument(1);
+  parameters["key"] = Argument(2);
+  const Json::Value response = CallAny("explain", parameters);
   if (m_settings.m_json) {
-    m_out << JsonPretty(answer) << "\n";
+    m_out << JsonPretty(response) << "\n";
     return kExitDone;
   }
   m_out << fmt::format(
       "key {} of {} is in partition {}\n  owner       {} ({}), epoch {}, {}\n"
       "  reason      {}\n  since       {} ms ago\n  dispatcher  {}\n"
       "  controller  {}, epoch {}\n",
-      answer["key"].asString(), answer["service"].asString(),
-      answer["partition"].asUInt(), answer["owner"].asString(),
-      answer["owner_up"].asBool() ? "up" : "down", answer["epoch"].asUInt64(),
-      answer["phase"].asString(), answer["reason"].asString(),
-      answer["since_ms"].asInt64(), answer["dispatcher"].asString(),
-      answer["controller"].asString(), answer["control_epoch"].asUInt64());
-  for (const Json::Value& entry : answer["entries"]) {
+      response["key"].asString(), response["service"].asString(),
+      response["partition"].asUInt(), response["owner"].asString(),
+      response["owner_up"].asBool() ? "up" : "down",
+      response["epoch"].asUInt64(), response["phase"].asString(),
+      response["reason"].asString(), response["since_ms"].asInt64(),
+      response["dispatcher"].asString(), response["controller"].asString(),
+      response["control_epoch"].asUInt64());
+  for (const Json::Value& entry : response["entries"]) {
     m_out << fmt::format("  entry       {} routes it by version {}\n",
                          entry["address"].asString(),
                          entry["routes"].asUInt64());
@@ -323,8 +329,8 @@
   const std::string secret = RandomToken();
   Json::Value parameters;
   parameters["kind"] = "key_grant";
-  parameters["workspace"] = Word(2);
-  parameters["name"] = Word(3);
+  parameters["workspace"] = Argument(2);
+  parameters["name"] = Argument(3);
   parameters["digest"] = SecretDigest(secret);
   const Json::Value plan = CallAny("change", parameters);
   m_out << "secret (shown once): " << secret << "\n";
@@ -334,8 +340,8 @@
 int CtlCommands::KeyWithdraw() {
   Json::Value parameters;
   parameters["kind"] = "key_withdraw";
-  parameters["workspace"] = Word(2);
-  parameters["name"] = Word(3);
+  parameters["workspace"] = Argument(2);
+  parameters["name"] = Argument(3);
   return FinishProposal(CallAny("change", parameters));
 }
 
@@ -344,8 +350,8 @@
   Json::Value parameters;
   parameters["kind"] = kind;
   parameters["state"] = state;
-  parameters["name"] = m_settings.m_words.back();
-  parameters["service"] = kind == "server" ? Word(2) : "";
+  parameters["name"] = m_settings.m_arguments.back();
+  parameters["service"] = kind == "server" ? Argument(2) : "";
   return FinishProposal(CallAny("change", parameters));
 }
 
@@ -367,9 +373,9 @@
 
 int CtlCommands::CellRelease() {
   Json::Value parameters;
-  parameters["cell"] = Word(2);
+  parameters["cell"] = Argument(2);
   CallAny("release", parameters);
-  m_out << "the control lease of " << Word(2) << " is free\n";
+  m_out << "the control lease of " << Argument(2) << " is free\n";
   return kExitDone;
 }
 
--- a/src/ctl/ctl_commands.h
+++ b/src/ctl/ctl_commands.h
@@ -12,18 +12,19 @@
 
 namespace foxtail {
 
-/// The verbs of `foxtailctl`.
+/// The commands of `foxtailctl`.
 class CtlCommands {
  public:
   /// Prints to `out`.
   CtlCommands(const CtlSettings& settings, std::ostream& out);
 
-  /// Runs the verb of the settings; returns the exit code. Throws typed errors.
+  /// Executes the command given in the settings; returns the exit code. Throws
+  /// `Error`.
   int Run();
 
  private:
-  using Command = int (CtlCommands::*)();
-  struct Verb;
+  using Handler = int (CtlCommands::*)();
+  struct Command;
 
   int Apply();
   int PlanShow();
@@ -40,7 +41,8 @@
   int CellRelease();
   int History();
 
-  /// Calls the first control process that answers.
+  /// Calls a method on the first control process that can handle it. Throws the
+  /// error of the last process that was called.
   Json::Value CallAny(const std::string& method, const Json::Value& parameters);
   int ChangeState(const std::string& kind, const std::string& state);
   int FinishProposal(const Json::Value& plan);
@@ -48,10 +50,10 @@
   int WaitInForce(uint64_t version);
   bool IsInForce(uint64_t version,
                  std::set<std::string>& behind,
-                 size_t& heard);
+                 size_t& process_count);
   void PrintPlan(const Json::Value& plan);
   void PrintCell(const Json::Value& cell);
-  const std::string& Word(size_t index) const;
+  const std::string& Argument(size_t index) const;
 
   const CtlSettings& m_settings;
   std::ostream& m_out;
--- a/src/ctl/ctl_settings.cc
+++ b/src/ctl/ctl_settings.cc
@@ -14,7 +14,7 @@
 constexpr uint32_t kMaxTimeoutMs = 600'000;
 
 constexpr const char* kHelp =
-    R"(foxtailctl: states intents, shows plans and their cost, confirms them
+    R"(foxtailctl: plans configuration changes, shows their cost, confirms them
 
 usage: foxtailctl [flags] VERB [ARGUMENTS]
 
@@ -23,13 +23,13 @@
   confirm PLAN                       make a plan the configuration in force
   abandon PLAN                       discard an open plan
   status                             hosts, servers, partitions, leases, versions
-  explain SERVICE KEY                who owns a key, since when and why
+  explain SERVICE KEY                which server owns a key, since when and why
   key grant WORKSPACE NAME           plan a new API key; prints its secret once
-  key withdraw WORKSPACE NAME        plan the withdrawal of an API key
-  datacentre leave|return NAME       plan a data centre's leaving or return
-  server drain|return SERVICE NAME   plan a backend server's leaving or return
-  cell release CELL                  your word that a cell's holder and standbys
-                                     are gone for good; frees its control lease
+  key withdraw WORKSPACE NAME        plan the revocation of an API key
+  datacentre leave|return NAME       plan a data centre's draining or return
+  server drain|return SERVICE NAME   plan a backend server's draining or return
+  cell release CELL                  release a cell's control lease; only if its
+                                     holder and standbys are gone for good
   history                            the newest plans
 
 flags
@@ -37,10 +37,10 @@
                          default 127.0.0.1:8280)
   --cluster-secret TEXT  secret of the cluster; better set by the variable
                          FOXTAILCTL_CLUSTER_SECRET
-  --timeout MS           longest time for a call or a wait, 1 to 600000 ms
+  --timeout MS           timeout of a call and of --wait, 1 to 600000 ms
                          (variable FOXTAILCTL_TIMEOUT; default 10000)
   --json                 print JSON
-  --yes                  confirm the plan that was made
+  --yes                  confirm the new plan at once
   --wait                 wait until the confirmed version is in force everywhere
 
 examples
@@ -50,7 +50,8 @@
   foxtailctl explain catalogue club-7
 
 exit codes: 0 done, 1 failed, 2 wrong command line or setting, 3 plan stale,
-4 not in force everywhere within the timeout, 5 nobody to ask or platform out
+4 not in force everywhere within the timeout, 5 control processes or platform
+unavailable
 )";
 
 std::string VariableOr(const char* name, const char* fallback) {
@@ -87,16 +88,16 @@
   TCLAP::ValueArg<std::string> timeout(
       "", "timeout", "timeout", false,
       VariableOr("FOXTAILCTL_TIMEOUT", "10000"), "ms", line);
-  TCLAP::UnlabeledMultiArg<std::string> words("words", "verb and arguments",
-                                              false, "verb", line);
+  TCLAP::UnlabeledMultiArg<std::string> arguments("words", "verb and arguments",
+                                                  false, "verb", line);
   try {
     line.parse(argc, argv);
-  } catch (const TCLAP::ArgException& failure) {
+  } catch (const TCLAP::ArgException& error) {
     throw Error(ErrorCode::kSettingInvalid,
-                failure.argId() + " " + failure.error() +
+                error.argId() + " " + error.error() +
                     "; allowed: the flags listed by --help");
   }
-  if (help.getValue() || words.getValue().empty()) {
+  if (help.getValue() || arguments.getValue().empty()) {
     std::cout << kHelp;
     return false;
   }
@@ -106,7 +107,7 @@
   settings.m_yes = yes.getValue();
   settings.m_wait = wait.getValue();
   settings.m_timeout = ParseTimeout(timeout.getValue());
-  settings.m_words = words.getValue();
+  settings.m_arguments = arguments.getValue();
   return true;
 }
 
--- a/src/ctl/ctl_settings.h
+++ b/src/ctl/ctl_settings.h
@@ -6,9 +6,9 @@
 
 namespace foxtail {
 
-/// What a `foxtailctl` command line asks for.
+/// Settings, command and arguments of a `foxtailctl` command line.
 struct CtlSettings {
-  /// Control processes, tried in order.
+  /// Addresses of the control processes, tried in order.
   std::vector<std::string> m_controls;
   std::string m_cluster_secret;
 
@@ -21,15 +21,15 @@
   /// Confirm a plan at once, without a second command.
   bool m_yes = false;
 
-  /// Longest time for one call, and for `--wait`.
+  /// Timeout of one call, and of `--wait`.
   std::chrono::milliseconds m_timeout{10'000};
 
-  /// The verb and its arguments.
-  std::vector<std::string> m_words;
+  /// The command, of one or two words, and its arguments.
+  std::vector<std::string> m_arguments;
 };
 
-/// Reads flags and variables. Throws `Error(kSettingInvalid)`. Returns false
-/// when help was asked for; it is printed then.
+/// Reads flags and variables. Throws `Error(kSettingInvalid)`. Prints the help
+/// text and returns false if help was requested or no command was given.
 bool ReadCtlSettings(int argc, const char* const* argv, CtlSettings& settings);
 
 }  // namespace foxtail
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -13,20 +13,21 @@
 
 using std::chrono::milliseconds;
 
-// Longest time between ticks when nothing arrives.
+// Longest time between ticks while no messages arrive.
 constexpr milliseconds kTickPeriod{20};
 constexpr milliseconds kPromiseTimeout{300};
 constexpr double kPlacementBound = 1.1;
 constexpr int kStatusOk = 200;
 
-std::unique_ptr<PlacementStrategy> PlacementOf(const DaemonSettings& settings) {
+std::unique_ptr<PlacementStrategy> CreatePlacement(
+    const DaemonSettings& settings) {
   if (settings.m_placement == "rendezvous") {
     return std::make_unique<RendezvousPlacement>();
   }
   return std::make_unique<BoundedLoadPlacement>(kPlacementBound);
 }
 
-HttpRequest GrantRequest(const SendGrant& grant) {
+HttpRequest BuildGrantRequest(const SendGrant& grant) {
   Json::Value body;
   body["service"] = grant.m_cell_name;
   body["control_epoch"] = Json::UInt64(grant.m_control_epoch);
@@ -58,7 +59,7 @@
     : m_settings(settings),
       m_store(store),
       m_events(events),
-      m_tick(PlacementOf(settings)) {
+      m_tick(CreatePlacement(settings)) {
   m_tables.m_self = std::move(self);
   m_tables.m_data_centre = settings.m_data_centre;
   m_tables.m_started = Clock::now();
@@ -67,30 +68,30 @@
 }
 
 void ControlLoop::Run() {
-  while (!MayEnd()) {
+  while (!CanExit()) {
     Tick();
     const bool arrived = !m_inbox.m_rows.empty() || !m_inbox.m_syncs.empty() ||
                          !m_inbox.m_tokens.empty();
     if (!arrived) {
-      m_arrived.WaitUntil(Clock::now() + kTickPeriod);
+      m_input_arrived.WaitUntil(Clock::now() + kTickPeriod);
     }
   }
 }
 
 void ControlLoop::BeginShutdown() {
   m_tables.m_stopping = true;
-  m_arrived.Notify();
+  m_input_arrived.Notify();
 }
 
-bool ControlLoop::MayEnd() const {
+bool ControlLoop::CanExit() const {
   if (!m_tables.m_stopping) {
     return false;
   }
-  bool holds = false;
+  bool lease_held = false;
   m_tables.m_cells.ForEach([&](auto, const CellRow& cell) {
-    holds = holds || cell.m_lease.m_phase != LeasePhase::kWatching;
+    lease_held = lease_held || cell.m_lease.m_phase != LeasePhase::kWatching;
   });
-  return !holds;
+  return !lease_held;
 }
 
 void ControlLoop::Tick() {
@@ -101,47 +102,49 @@
   m_tick.Run(m_tables, inbox, outbox, now);
   ++m_tick_count;
   m_longest_tick = std::max(m_longest_tick, Clock::now() - now.m_steady);
-  CarryOut(outbox);
+  Execute(outbox);
 }
 
-void ControlLoop::CarryOut(ControlOutbox& outbox) {
-  for (const NoteEvent& note : outbox.m_events) {
-    m_events.Write(note.m_number, note.m_fields);
+void ControlLoop::Execute(ControlOutbox& outbox) {
+  for (const NoteEvent& event : outbox.m_events) {
+    m_events.Write(event.m_number, event.m_fields);
   }
-  AnswerWaiting(outbox);
-  CarryOutRows(outbox);
-  CarryOutServers(outbox);
-  for (const AskPromise& ask : outbox.m_promises) {
-    StartFiber([this, ask] { AskForPromise(ask); });
+  CompletePendingRequests(outbox);
+  ExecuteRowCommands(outbox);
+  ExecuteServerCommands(outbox);
+  for (const AskPromise& command : outbox.m_promises) {
+    StartFiber([this, command] { RequestPromise(command); });
   }
 }
 
-void ControlLoop::CarryOutRows(ControlOutbox& outbox) {
+void ControlLoop::ExecuteRowCommands(ControlOutbox& outbox) {
   for (const ReadRow& read : outbox.m_reads) {
     StartFiber([this, read, sent = Clock::now()] {
-      RowAnswer answer{read.m_purpose, read.m_cell, false, {}, sent};
-      answer.m_result = m_store.Read(read.m_key);
-      NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoAnswer);
-      m_inbox.m_rows.push_back(std::move(answer));
-      m_arrived.Notify();
+      RowAnswer response{read.m_purpose, read.m_cell, false, {}, sent};
+      response.m_result = m_store.Read(read.m_key);
+      RecordPlatformResponse(response.m_result.m_outcome !=
+                             RowOutcome::kNoAnswer);
+      m_inbox.m_rows.push_back(std::move(response));
+      m_input_arrived.Notify();
     });
   }
   for (WriteRow& write : outbox.m_writes) {
     StartFiber([this, write = std::move(write), sent = Clock::now()] {
-      RowAnswer answer{write.m_purpose, write.m_cell, true, {}, sent};
-      answer.m_result =
+      RowAnswer response{write.m_purpose, write.m_cell, true, {}, sent};
+      response.m_result =
           m_store.Write(write.m_key, write.m_if_version, write.m_value);
-      NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoAnswer);
-      m_inbox.m_rows.push_back(std::move(answer));
-      m_arrived.Notify();
+      RecordPlatformResponse(response.m_result.m_outcome !=
+                             RowOutcome::kNoAnswer);
+      m_inbox.m_rows.push_back(std::move(response));
+      m_input_arrived.Notify();
     });
   }
 }
 
-void ControlLoop::NotePlatform(bool answers) {
-  if (answers != m_platform_answers) {
-    m_platform_answers = answers;
-    if (answers) {
+void ControlLoop::RecordPlatformResponse(bool responded) {
+  if (responded != m_platform_reachable) {
+    m_platform_reachable = responded;
+    if (responded) {
       m_events.Write(EventNumber::kPlatformReachable, {});
     } else {
       m_events.Write(EventNumber::kPlatformUnreachable,
@@ -150,106 +153,107 @@
   }
 }
 
-void ControlLoop::CarryOutServers(ControlOutbox& outbox) {
+void ControlLoop::ExecuteServerCommands(ControlOutbox& outbox) {
   for (SendGrant& grant : outbox.m_grants) {
-    StartFiber([this, grant = std::move(grant)] { SendGrantTo(grant); });
+    StartFiber([this, grant = std::move(grant)] { SendGrantToServer(grant); });
   }
   for (const SendProbe& probe : outbox.m_probes) {
     StartFiber([this, probe] { ProbeServer(probe); });
   }
 }
 
-void ControlLoop::SendGrantTo(const SendGrant& grant) {
-  GrantAnswer answer;
-  answer.m_server = grant.m_server;
-  answer.m_number = grant.m_number;
+void ControlLoop::SendGrantToServer(const SendGrant& grant) {
+  GrantAnswer response;
+  response.m_server = grant.m_server;
+  response.m_number = grant.m_number;
   const ExchangeResult result =
-      m_client.Exchange(ParseAddress(grant.m_address), GrantRequest(grant),
+      m_client.Exchange(ParseAddress(grant.m_address), BuildGrantRequest(grant),
                         Clock::now() + m_settings.m_server_timeout);
-  answer.m_accepted = result.m_ok && result.m_response.m_status == kStatusOk;
-  m_inbox.m_grants.push_back(std::move(answer));
-  m_arrived.Notify();
+  response.m_accepted = result.m_ok && result.m_response.m_status == kStatusOk;
+  m_inbox.m_grants.push_back(std::move(response));
+  m_input_arrived.Notify();
 }
 
 void ControlLoop::ProbeServer(const SendProbe& probe) {
   HttpRequest request;
   request.m_target = "/health";
-  ProbeAnswer answer;
-  answer.m_server = probe.m_server;
+  ProbeAnswer response;
+  response.m_server = probe.m_server;
   const ExchangeResult result =
       m_client.Exchange(ParseAddress(probe.m_address), request,
                         Clock::now() + m_settings.m_server_timeout);
-  answer.m_answered = result.m_ok && result.m_response.m_status == kStatusOk;
-  answer.m_instance =
+  response.m_answered = result.m_ok && result.m_response.m_status == kStatusOk;
+  response.m_instance =
       result.m_response.m_headers.GetOr("x-server-instance", "");
-  m_inbox.m_probes.push_back(std::move(answer));
-  m_arrived.Notify();
+  m_inbox.m_probes.push_back(std::move(response));
+  m_input_arrived.Notify();
 }
 
-void ControlLoop::AskForPromise(const AskPromise& ask) {
-  PromiseAnswer answer;
-  answer.m_cell = ask.m_cell;
-  answer.m_standby = ask.m_standby;
-  answer.m_epoch = ask.m_epoch;
-  answer.m_sent = Clock::now();
+void ControlLoop::RequestPromise(const AskPromise& command) {
+  PromiseAnswer response;
+  response.m_cell = command.m_cell;
+  response.m_standby = command.m_standby;
+  response.m_epoch = command.m_epoch;
+  response.m_sent = Clock::now();
   try {
     const ControlRpcClient client(m_client, m_settings.m_cluster_secret,
                                   kPromiseTimeout);
-    answer.m_given = client.AskPromise(ask, m_tables.m_self);
+    response.m_given = client.RequestPromise(command, m_tables.m_self);
   } catch (const Error&) {
-    answer.m_given = false;
+    response.m_given = false;
   }
-  m_inbox.m_promises.push_back(std::move(answer));
-  m_arrived.Notify();
+  m_inbox.m_promises.push_back(std::move(response));
+  m_input_arrived.Notify();
 }
 
-template <typename Response, typename Answers>
-void ControlLoop::Complete(Waiting<Response>& waiting, Answers& answers) {
-  for (auto& answer : answers) {
-    const auto found = waiting.find(answer.m_handle);
-    if (found != waiting.end()) {
-      found->second.set_value(std::move(answer.m_response));
-      waiting.erase(found);
+template <typename Response, typename Commands>
+void ControlLoop::CompleteRequests(PendingRequests<Response>& pending,
+                                   Commands& commands) {
+  for (auto& command : commands) {
+    const auto found = pending.find(command.m_handle);
+    if (found != pending.end()) {
+      found->second.set_value(std::move(command.m_response));
+      pending.erase(found);
     }
   }
 }
 
-void ControlLoop::AnswerWaiting(ControlOutbox& outbox) {
-  Complete(m_syncs, outbox.m_syncs);
-  Complete(m_tokens, outbox.m_tokens);
-  for (const GivePromise& answer : outbox.m_promise_answers) {
-    const auto found = m_promises.find(answer.m_handle);
-    if (found != m_promises.end()) {
-      found->second.set_value(answer.m_given);
-      m_promises.erase(found);
+void ControlLoop::CompletePendingRequests(ControlOutbox& outbox) {
+  CompleteRequests(m_pending_syncs, outbox.m_syncs);
+  CompleteRequests(m_pending_tokens, outbox.m_tokens);
+  for (const GivePromise& command : outbox.m_promise_answers) {
+    const auto found = m_pending_promises.find(command.m_handle);
+    if (found != m_pending_promises.end()) {
+      found->second.set_value(command.m_given);
+      m_pending_promises.erase(found);
     }
   }
 }
 
 SyncResponse ControlLoop::HandleSync(SyncRequest request) {
   const uint64_t handle = ++m_last_handle;
-  auto answer = m_syncs[handle].get_future();
+  auto response = m_pending_syncs[handle].get_future();
   m_inbox.m_syncs.push_back({handle, std::move(request), Clock::now()});
-  m_arrived.Notify();
-  return answer.get();
+  m_input_arrived.Notify();
+  return response.get();
 }
 
 TokenResponse ControlLoop::HandleTokenRequest(TokenRequest request) {
   const uint64_t handle = ++m_last_handle;
-  auto answer = m_tokens[handle].get_future();
+  auto response = m_pending_tokens[handle].get_future();
   m_inbox.m_tokens.push_back({handle, std::move(request), Clock::now()});
-  m_arrived.Notify();
-  return answer.get();
+  m_input_arrived.Notify();
+  return response.get();
 }
 
 bool ControlLoop::HandlePromiseRequest(const std::string& cell,
                                        const ControlInstance& holder,
                                        uint64_t epoch) {
   const uint64_t handle = ++m_last_handle;
-  auto answer = m_promises[handle].get_future();
+  auto response = m_pending_promises[handle].get_future();
   m_inbox.m_promises_asked.push_back({handle, cell, holder, epoch});
-  m_arrived.Notify();
-  return answer.get();
+  m_input_arrived.Notify();
+  return response.get();
 }
 
 void ControlLoop::RecordPeer(const ControlInstance& peer,
@@ -259,7 +263,7 @@
 
 void ControlLoop::PollConfig() {
   m_tables.m_config.m_next_poll = Clock::now();
-  m_arrived.Notify();
+  m_input_arrived.Notify();
 }
 
 }  // namespace foxtail
--- a/src/daemon/control_loop.h
+++ b/src/daemon/control_loop.h
@@ -15,9 +15,9 @@
 
 namespace foxtail {
 
-/// Runs the control tick on the control thread: gathers what arrived, runs the
-/// systems, and carries out what they want done. All calls are made on fibers
-/// of that thread.
+/// Runs the control tick on the control thread: passes the messages that
+/// arrived since the last tick to the systems and executes the commands that
+/// the systems produce. All methods are called on fibers of that thread.
 class ControlLoop {
  public:
   ControlLoop(const DaemonSettings& settings,
@@ -25,52 +25,59 @@
               PlatformStore& store,
               EventLog& events);
 
-  /// Runs ticks until `BeginShutdown` and all leases are given back.
+  /// Runs ticks until `BeginShutdown` was called and all leases are released.
   void Run();
 
-  /// Begins a planned stop: leases are given back.
+  /// Begins a graceful shutdown: the leases are released.
   void BeginShutdown();
 
-  /// Answers a dispatcher's sync request; waits until there is an answer.
+  /// Handles a dispatcher's sync request; the calling fiber waits for the
+  /// response.
   SyncResponse HandleSync(SyncRequest request);
 
-  /// Answers an entry's request for tokens.
+  /// Handles an entry's token request; the calling fiber waits for the
+  /// response.
   TokenResponse HandleTokenRequest(TokenRequest request);
 
-  /// Answers a holder that asks for a promise.
+  /// Handles a lease holder's promise request; the calling fiber waits for the
+  /// result. Returns whether the promise is given.
   bool HandlePromiseRequest(const std::string& cell,
                             const ControlInstance& holder,
                             uint64_t epoch);
 
-  /// Notes another control process.
+  /// Records another control process that responded.
   void RecordPeer(const ControlInstance& peer, const std::string& data_centre);
 
-  /// Reads the configuration again at once.
+  /// Reads the configuration again without waiting for the next poll.
   void PollConfig();
 
   const ControlTables& GetTables() const { return m_tables; }
 
-  /// Longest tick so far, and how many there were.
+  /// Longest duration of a tick so far.
   Duration GetLongestTick() const { return m_longest_tick; }
+
+  /// Number of ticks so far.
   uint64_t GetTickCount() const { return m_tick_count; }
 
  private:
+  // Requests whose fibers wait for a response, by handle.
   template <typename Response>
-  using Waiting = std::map<uint64_t, boost::fibers::promise<Response>>;
+  using PendingRequests = std::map<uint64_t, boost::fibers::promise<Response>>;
 
-  bool MayEnd() const;
+  bool CanExit() const;
   void Tick();
-  void CarryOut(ControlOutbox& outbox);
-  void CarryOutRows(ControlOutbox& outbox);
-  void CarryOutServers(ControlOutbox& outbox);
-  void AnswerWaiting(ControlOutbox& outbox);
-  void AskForPromise(const AskPromise& ask);
-  void SendGrantTo(const SendGrant& grant);
+  void Execute(ControlOutbox& outbox);
+  void ExecuteRowCommands(ControlOutbox& outbox);
+  void ExecuteServerCommands(ControlOutbox& outbox);
+  void CompletePendingRequests(ControlOutbox& outbox);
+  void RequestPromise(const AskPromise& command);
+  void SendGrantToServer(const SendGrant& grant);
   void ProbeServer(const SendProbe& probe);
-  void NotePlatform(bool answers);
+  void RecordPlatformResponse(bool responded);
 
-  template <typename Response, typename Answers>
-  static void Complete(Waiting<Response>& waiting, Answers& answers);
+  template <typename Response, typename Commands>
+  static void CompleteRequests(PendingRequests<Response>& pending,
+                               Commands& commands);
 
   const DaemonSettings& m_settings;
   PlatformStore& m_store;
@@ -79,12 +86,12 @@
   ControlTables m_tables;
   ControlTick m_tick;
   ControlInbox m_inbox;
-  FiberEvent m_arrived;
+  FiberEvent m_input_arrived;
   uint64_t m_last_handle = 0;
-  Waiting<SyncResponse> m_syncs;
-  Waiting<TokenResponse> m_tokens;
-  Waiting<bool> m_promises;
-  bool m_platform_answers = true;
+  PendingRequests<SyncResponse> m_pending_syncs;
+  PendingRequests<TokenResponse> m_pending_tokens;
+  PendingRequests<bool> m_pending_promises;
+  bool m_platform_reachable = true;
   Duration m_longest_tick{0};
   uint64_t m_tick_count = 0;
 };
--- a/src/daemon/control_rpc.cc
+++ b/src/daemon/control_rpc.cc
@@ -10,11 +10,11 @@
 namespace foxtail {
 namespace {
 
-constexpr size_t kHistoryLimit = 20;  // plans
+constexpr size_t kMaxHistoryPlans = 20;
 
 struct Method {
   const char* m_name;
-  void (ControlRpc::*m_pointer)(const Json::Value&, Json::Value&);
+  void (ControlRpc::*m_handler)(const Json::Value&, Json::Value&);
 };
 
 constexpr std::array<Method, 11> kMethods = {{
@@ -31,21 +31,22 @@
     {"release", &ControlRpc::Release},
 }};
 
-Json::Value ErrorValue(const Error& error) {
+Json::Value ErrorToJson(const Error& error) {
   Json::Value value;
   value["error"] = std::string(InfoOf(error.GetCode()).m_name);
   value["detail"] = error.GetDetail();
   return value;
 }
 
-// A method's failure is part of its result, with its type.
-void Answer(Json::Value& result, const std::function<Json::Value()>& body) {
+// Encodes an error of a method in its JSON-RPC result, so that the client
+// receives the error code.
+void Respond(Json::Value& result, const std::function<Json::Value()>& method) {
   try {
-    result["ok"] = body();
+    result["ok"] = method();
   } catch (const Error& error) {
-    result = ErrorValue(error);
-  } catch (const Json::Exception& failure) {
-    result = ErrorValue(Error(ErrorCode::kMessageMalformed, failure.what()));
+    result = ErrorToJson(error);
+  } catch (const Json::Exception& error) {
+    result = ErrorToJson(Error(ErrorCode::kMessageMalformed, error.what()));
   }
 }
 
@@ -54,7 +55,7 @@
   return kNames.at(static_cast<size_t>(state));
 }
 
-Json::Value PlanValue(const PlanRecord& plan) {
+Json::Value PlanToJson(const PlanRecord& plan) {
   Json::Value value;
   value["plan"] = plan.m_id;
   value["summary"] = plan.m_summary;
@@ -81,12 +82,12 @@
   for (const Method& method : kMethods) {
     bindAndAddMethod(jsonrpc::Procedure(method.m_name, jsonrpc::PARAMS_BY_NAME,
                                         jsonrpc::JSON_OBJECT, nullptr),
-                     method.m_pointer);
+                     method.m_handler);
   }
 }
 
 void ControlRpc::Hello(const Json::Value&, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     const ControlTables& tables = m_loop.GetTables();
     Json::Value self;
     self["instance"] = tables.m_self.m_instance;
@@ -97,25 +98,26 @@
 }
 
 void ControlRpc::Promise(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
-    const bool addressed = parameters["standby"].asString() ==
-                           m_loop.GetTables().m_self.m_instance;
-    return Json::Value(addressed && m_loop.HandlePromiseRequest(
-                                        parameters["cell"].asString(),
-                                        {parameters["instance"].asString(),
-                                         parameters["address"].asString()},
-                                        parameters["epoch"].asUInt64()));
+  Respond(result, [&] {
+    const bool for_this_process = parameters["standby"].asString() ==
+                                  m_loop.GetTables().m_self.m_instance;
+    return Json::Value(
+        for_this_process &&
+        m_loop.HandlePromiseRequest(parameters["cell"].asString(),
+                                    {parameters["instance"].asString(),
+                                     parameters["address"].asString()},
+                                    parameters["epoch"].asUInt64()));
   });
 }
 
 void ControlRpc::Apply(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
-    return PlanValue(m_operators.ProposeDocument(parameters["document"]));
+  Respond(result, [&] {
+    return PlanToJson(m_operators.ProposeDocument(parameters["document"]));
   });
 }
 
 void ControlRpc::Change(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     IntentChange change;
     change.m_kind = parameters["kind"].asString();
     change.m_name = parameters["name"].asString();
@@ -123,18 +125,18 @@
     change.m_workspace = parameters["workspace"].asString();
     change.m_state = parameters["state"].asString();
     change.m_digest = parameters["digest"].asString();
-    return PlanValue(m_operators.ProposeChange(change));
+    return PlanToJson(m_operators.ProposeChange(change));
   });
 }
 
 void ControlRpc::PlanShow(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
-    return PlanValue(m_operators.ShowPlan(parameters["plan"].asString()));
+  Respond(result, [&] {
+    return PlanToJson(m_operators.ShowPlan(parameters["plan"].asString()));
   });
 }
 
 void ControlRpc::Confirm(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     Json::Value value;
     value["version"] =
         Json::UInt64(m_operators.Confirm(parameters["plan"].asString()));
@@ -143,36 +145,36 @@
 }
 
 void ControlRpc::Abandon(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     m_operators.Abandon(parameters["plan"].asString());
     return Json::Value(true);
   });
 }
 
 void ControlRpc::History(const Json::Value&, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     Json::Value plans(Json::arrayValue);
-    for (const PlanRecord& plan : m_operators.History(kHistoryLimit)) {
-      plans.append(PlanValue(plan));
+    for (const PlanRecord& plan : m_operators.History(kMaxHistoryPlans)) {
+      plans.append(PlanToJson(plan));
     }
     return plans;
   });
 }
 
 void ControlRpc::Status(const Json::Value&, Json::Value& result) {
-  Answer(result,
-         [&] { return BuildStatusReport(m_loop.GetTables(), Clock::now()); });
+  Respond(result,
+          [&] { return BuildStatusReport(m_loop.GetTables(), Clock::now()); });
 }
 
 void ControlRpc::Explain(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     return ExplainKey(m_loop.GetTables(), parameters["service"].asString(),
                       parameters["key"].asString(), Clock::now());
   });
 }
 
 void ControlRpc::Release(const Json::Value& parameters, Json::Value& result) {
-  Answer(result, [&] {
+  Respond(result, [&] {
     m_operators.ReleaseCell(parameters["cell"].asString());
     return Json::Value(true);
   });
--- a/src/daemon/control_rpc.h
+++ b/src/daemon/control_rpc.h
@@ -11,8 +11,8 @@
 
 namespace foxtail {
 
-/// JSON-RPC methods of a control process: those of operators and those between
-/// control processes. It only encodes and decodes.
+/// JSON-RPC methods of a control process, for operators and for other control
+/// processes. This class only decodes parameters and encodes results.
 class ControlRpc : public jsonrpc::AbstractServer<ControlRpc> {
  public:
   ControlRpc(RpcConnector& connector,
--- a/src/daemon/control_rpc_client.cc
+++ b/src/daemon/control_rpc_client.cc
@@ -11,16 +11,16 @@
 
 constexpr int kStatusOk = 200;
 
-// Methods answer {"ok": ...} or {"error", "detail", "faults"}.
-Json::Value ResultOrThrow(const Json::Value& answer) {
-  if (answer.isObject() && answer.isMember("error")) {
-    std::string detail = answer["detail"].asString();
-    for (const Json::Value& fault : answer["faults"]) {
+// The result of a method is {"ok": ...} or {"error", "detail", "faults"}.
+Json::Value ResultOrThrow(const Json::Value& result) {
+  if (result.isObject() && result.isMember("error")) {
+    std::string detail = result["detail"].asString();
+    for (const Json::Value& fault : result["faults"]) {
       detail += "\n  " + fault.asString();
     }
-    throw Error(ErrorCodeFromName(answer["error"].asString()), detail);
+    throw Error(ErrorCodeFromName(result["error"].asString()), detail);
   }
-  return answer["ok"];
+  return result["ok"];
 }
 
 }  // namespace
@@ -43,30 +43,31 @@
     return response.m_body;
   };
   Json::Value result;
-  std::string failure;
-  if (!CallRpc(transport, method, parameters, result, failure)) {
-    throw Error(ErrorCode::kMessageMalformed, failure);
+  std::string error_text;
+  if (!CallRpc(transport, method, parameters, result, error_text)) {
+    throw Error(ErrorCode::kMessageMalformed, error_text);
   }
   return ResultOrThrow(result);
 }
 
-bool ControlRpcClient::AskPromise(const struct AskPromise& ask,
-                                  const ControlInstance& self) const {
+bool ControlRpcClient::RequestPromise(const AskPromise& command,
+                                      const ControlInstance& self) const {
   Json::Value parameters;
-  parameters["cell"] = ask.m_cell_name;
+  parameters["cell"] = command.m_cell_name;
   parameters["instance"] = self.m_instance;
   parameters["address"] = self.m_address;
-  parameters["epoch"] = Json::Int64(ask.m_epoch);
-  // A restarted standby is another instance and may not promise for this one.
-  parameters["standby"] = ask.m_standby.m_instance;
-  return Call(ask.m_standby.m_address, "promise", parameters).asBool();
+  parameters["epoch"] = Json::Int64(command.m_epoch);
+  // The promise counts only for this incarnation of the standby: a restarted
+  // standby must not give it.
+  parameters["standby"] = command.m_standby.m_instance;
+  return Call(command.m_standby.m_address, "promise", parameters).asBool();
 }
 
 PeerAnswer ControlRpcClient::Hello(const std::string& address) const {
-  const Json::Value answer =
+  const Json::Value response =
       Call(address, "hello", Json::Value(Json::objectValue));
-  return {{answer["instance"].asString(), answer["address"].asString()},
-          answer["data_centre"].asString()};
+  return {{response["instance"].asString(), response["address"].asString()},
+          response["data_centre"].asString()};
 }
 
 }  // namespace foxtail
--- a/src/daemon/control_rpc_client.h
+++ b/src/daemon/control_rpc_client.h
@@ -16,17 +16,18 @@
   /// `timeout` bounds each call.
   ControlRpcClient(HttpClient& client, std::string secret, Duration timeout);
 
-  /// Calls a method. Throws the typed error that the other side answered, or
-  /// `Error(kNetwork)`.
+  /// Calls a method and returns its result. Throws the error that the control
+  /// process responded with, `Error(kNetwork)` or `Error(kMessageMalformed)`.
   Json::Value Call(const std::string& address,
                    const std::string& method,
                    const Json::Value& parameters) const;
 
-  /// Asks a standby for a promise; returns whether it was given.
-  bool AskPromise(const struct AskPromise& ask,
-                  const ControlInstance& self) const;
+  /// Requests a standby's promise for the lease holder `self`; returns whether
+  /// the promise was given.
+  bool RequestPromise(const AskPromise& command,
+                      const ControlInstance& self) const;
 
-  /// Greets another control process; returns who it is.
+  /// Returns the identity and data centre of another control process.
   PeerAnswer Hello(const std::string& address) const;
 
  private:
--- a/src/daemon/daemon_settings.h
+++ b/src/daemon/daemon_settings.h
@@ -16,38 +16,38 @@
   /// All control processes, "IP:PORT" separated by commas.
   std::string m_peers = "127.0.0.1:8280";
 
-  /// The platform's table service.
+  /// Address of the platform's table service.
   std::string m_platform = "127.0.0.1:8380";
 
-  /// Data centre this host stands in.
+  /// Data centre of this host.
   std::string m_data_centre = "local";
 
-  /// Secret that the project's own processes and operators show.
+  /// Secret that authenticates the project's own processes and operators.
   std::string m_cluster_secret;
 
-  /// File for events; empty means standard error.
+  /// File that events are logged to; empty means standard error.
   std::string m_log_file;
 
-  /// Longest time a call to the platform may take.
+  /// Timeout of a call to the platform.
   std::chrono::milliseconds m_platform_timeout{250};
 
-  /// Longest time a probe or grant may take.
+  /// Timeout of a probe or grant call to a backend server.
   std::chrono::milliseconds m_server_timeout{150};
 
-  /// Longest time a planned stop waits for leases to be given back.
+  /// Longest time that a graceful shutdown waits for leases to be released.
   std::chrono::milliseconds m_stop_timeout{5000};
 
-  /// "bounded" or "rendezvous": how owners of partitions are chosen.
+  /// Strategy that chooses the owners of partitions: "bounded" or "rendezvous".
   std::string m_placement = "bounded";
 
-  /// Life of the control lease after a renewal was sent.
+  /// TTL of the control lease, counted from when a renewal was sent.
   std::chrono::milliseconds m_lease_hold{700};
 
-  /// Time an unchanged lease row is watched before a takeover.
+  /// Time for which a lease row must stay unchanged before a takeover.
   std::chrono::milliseconds m_lease_take{740};
 };
 
-/// The settings table of `foxtail-control`.
+/// Returns the settings table of `foxtail-control`.
 std::span<const SettingRow<DaemonSettings>> DaemonSettingRows();
 
 }  // namespace foxtail
--- a/src/daemon/operator_service.cc
+++ b/src/daemon/operator_service.cc
@@ -13,10 +13,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kAttempts = 4;
-constexpr milliseconds kRetryPause{50};
+constexpr int kMaxAttempts = 4;
+constexpr milliseconds kMaxRetryDelay{50};
 constexpr double kPlacementBound = 1.1;
-constexpr size_t kSuffixLength = 6;  // characters of a plan id
+constexpr size_t kPlanIdSuffixLength = 6;  // characters
 
 const RowKey& CurrentKey() {
   static const RowKey key = {"config", "current"};
@@ -27,38 +27,39 @@
   return {"plan", id};
 }
 
-// Reads a row, trying a few times with jittered pauses.
+// Reads a row; retries after a jittered delay while the platform doesn't
+// respond.
 RowResult ReadOrThrow(PlatformStore& store, const RowKey& key) {
   static thread_local std::minstd_rand random{std::random_device{}()};
-  for (int i = 0; i < kAttempts; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     RowResult result = store.Read(key);
     if (result.m_outcome != RowOutcome::kNoAnswer) {
       return result;
     }
-    std::uniform_int_distribution<int64_t> jitter(kRetryPause.count() / 2,
-                                                  kRetryPause.count());
+    std::uniform_int_distribution<int64_t> jitter(kMaxRetryDelay.count() / 2,
+                                                  kMaxRetryDelay.count());
     boost::this_fiber::sleep_for(milliseconds(jitter(random)));
   }
   throw Error(ErrorCode::kPlatformUnavailable, Execution::kNotRun, key.m_key);
 }
 
-std::string FaultText(const std::vector<ValidationError>& faults) {
-  std::string text = std::to_string(faults.size()) + " faults";
-  for (const ValidationError& fault : faults) {
-    text += "\n  " + fault.m_path + ": " + fault.m_reason;
+std::string FormatErrors(const std::vector<ValidationError>& errors) {
+  std::string text = std::to_string(errors.size()) + " faults";
+  for (const ValidationError& error : errors) {
+    text += "\n  " + error.m_path + ": " + error.m_reason;
   }
   return text;
 }
 
-void ThrowFaults(const std::vector<ValidationError>& faults) {
-  if (!faults.empty()) {
-    throw Error(ErrorCode::kIntentInvalid, FaultText(faults));
+void ThrowIfInvalid(const std::vector<ValidationError>& errors) {
+  if (!errors.empty()) {
+    throw Error(ErrorCode::kIntentInvalid, FormatErrors(errors));
   }
 }
 
 std::string NewPlanId() {
   return "p" + std::to_string(WallNow().time_since_epoch().count()) + "-" +
-         RandomToken().substr(0, kSuffixLength);
+         RandomToken().substr(0, kPlanIdSuffixLength);
 }
 
 }  // namespace
@@ -100,34 +101,34 @@
 }
 
 PlanRecord OperatorService::ProposeDocument(const Json::Value& document) {
-  std::vector<ValidationError> faults;
-  const Configuration proposed = ConfigurationFromJson(document, faults);
-  ThrowFaults(faults);
+  std::vector<ValidationError> errors;
+  const Configuration proposed = ConfigurationFromJson(document, errors);
+  ThrowIfInvalid(errors);
   uint64_t version = 0;
   const Configuration base = ReadConfiguration(version);
-  return StorePlan("apply a document", base, version, proposed);
+  return CreatePlan("apply a document", base, version, proposed);
 }
 
 PlanRecord OperatorService::ProposeChange(const IntentChange& change) {
   uint64_t version = 0;
   const Configuration base = ReadConfiguration(version);
   Configuration proposed = base;
-  std::vector<ValidationError> faults;
-  ApplyChange(change, proposed, faults);
-  ThrowFaults(faults);
-  ConfigurationFromJson(ConfigurationToJson(proposed), faults);
-  ThrowFaults(faults);
-  return StorePlan(change.m_kind + " " + change.m_name + " " + change.m_state,
-                   base, version, proposed);
+  std::vector<ValidationError> errors;
+  ApplyChange(change, proposed, errors);
+  ThrowIfInvalid(errors);
+  ConfigurationFromJson(ConfigurationToJson(proposed), errors);
+  ThrowIfInvalid(errors);
+  return CreatePlan(change.m_kind + " " + change.m_name + " " + change.m_state,
+                    base, version, proposed);
 }
 
-PlanRecord OperatorService::StorePlan(const std::string& summary,
-                                      const Configuration& base,
-                                      uint64_t base_version,
-                                      const Configuration& proposed) {
-  std::vector<ValidationError> faults;
-  CheckAgainst(base, proposed, faults);
-  ThrowFaults(faults);
+PlanRecord OperatorService::CreatePlan(const std::string& summary,
+                                       const Configuration& base,
+                                       uint64_t base_version,
+                                       const Configuration& proposed) {
+  std::vector<ValidationError> errors;
+  CheckAgainst(base, proposed, errors);
+  ThrowIfInvalid(errors);
   PlanRecord plan;
   plan.m_id = NewPlanId();
   plan.m_summary = summary;
@@ -144,7 +145,7 @@
   EstimateCost(BoundedLoadPlacement(kPlacementBound), assignments, plan);
   const RowResult written = m_store.Write(PlanKey(plan.m_id), 0, plan);
   if (written.m_outcome == RowOutcome::kNoAnswer) {
-    // The id is fresh, so reading it tells whether the write took effect.
+    // The id is new, so reading the row shows whether the write took effect.
     uint64_t row_version = 0;
     plan = ReadPlan(plan.m_id, row_version);
   }
@@ -161,13 +162,14 @@
 
 void OperatorService::ThrowStale(const PlanRecord& plan) {
   uint64_t version = 0;
-  const Configuration now = ReadConfiguration(version);
+  const Configuration current = ReadConfiguration(version);
   uint64_t ignored = 0;
   std::string detail = "plan " + plan.m_id + " was made against version " +
                        std::to_string(plan.m_base_version) + "; version " +
                        std::to_string(version) +
                        " is in force. Since the plan's base:";
-  // The base is found through the plan that was confirmed as it.
+  // The base configuration is that of the plan that was confirmed as the base
+  // version.
   Configuration base;
   for (const std::string& id : m_store.List("plan")) {
     const PlanRecord other = ReadPlan(id, ignored);
@@ -176,16 +178,16 @@
       base = other.m_configuration;
     }
   }
-  for (const std::string& line : DescribeChanges(base, now)) {
+  for (const std::string& line : DescribeChanges(base, current)) {
     detail += "\n  " + line;
   }
   throw Error(ErrorCode::kPlanStale, detail);
 }
 
 uint64_t OperatorService::Confirm(const std::string& id) {
-  for (int i = 0; i < kAttempts; ++i) {
-    uint64_t plan_row = 0;
-    PlanRecord plan = ReadPlan(id, plan_row);
+  for (int i = 0; i < kMaxAttempts; ++i) {
+    uint64_t plan_row_version = 0;
+    PlanRecord plan = ReadPlan(id, plan_row_version);
     const CurrentVersion current = ReadCurrent();
     const bool in_force = current.m_record.m_plan == id;
     if (plan.m_state == PlanState::kConfirmed) {
@@ -197,7 +199,7 @@
     if (in_force) {
       plan.m_state = PlanState::kConfirmed;
       plan.m_confirmed_version = current.m_record.m_version;
-      MarkPlan(plan, plan_row);
+      StorePlanState(plan, plan_row_version);
       return plan.m_confirmed_version;
     }
     if (current.m_record.m_version != plan.m_base_version) {
@@ -212,22 +214,24 @@
     if (written.m_outcome == RowOutcome::kDone) {
       plan.m_state = PlanState::kConfirmed;
       plan.m_confirmed_version = next.m_version;
-      MarkPlan(plan, plan_row);
+      StorePlanState(plan, plan_row_version);
       m_events.Write(EventNumber::kPlanConfirmed,
                      {{"plan", id}, {"version", next.m_version}});
       m_loop.PollConfig();
       return next.m_version;
     }
-    // Another writer was first or the answer was lost: the rows tell.
+    // Another writer was first or the response was lost: the next attempt reads
+    // the rows to find out.
   }
   throw Error(ErrorCode::kPlatformUnavailable,
               "it is unknown whether plan " + id +
                   " was confirmed; confirm it again to find out");
 }
 
-// The row config/current decides; this only records it with the plan.
-void OperatorService::MarkPlan(PlanRecord plan, uint64_t row_version) {
-  for (int i = 0; i < kAttempts; ++i) {
+// Which plan is in force is decided by the row config/current; the state in the
+// plan's row only records that.
+void OperatorService::StorePlanState(PlanRecord plan, uint64_t row_version) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     const RowResult result =
         m_store.Write(PlanKey(plan.m_id), row_version, plan);
     if (result.m_outcome == RowOutcome::kDone) {
@@ -244,7 +248,7 @@
     throw Error(ErrorCode::kPlanUnknown, id + " is not open");
   }
   plan.m_state = PlanState::kAbandoned;
-  MarkPlan(plan, row_version);
+  StorePlanState(plan, row_version);
   m_events.Write(EventNumber::kPlanAbandoned, {{"plan", id}});
 }
 
--- a/src/daemon/operator_service.h
+++ b/src/daemon/operator_service.h
@@ -11,37 +11,43 @@
 
 namespace foxtail {
 
-/// What operators may ask of a control process: intents, plans, confirmation,
-/// status and explanations. Any control process answers. Failures are thrown as
-/// typed errors.
+/// Operators' requests to a control process that change the configuration or
+/// release a cell. Each method works on the table store, so that any control
+/// process can handle any request. Failures are thrown as `Error`.
 class OperatorService {
  public:
   OperatorService(ControlLoop& loop, PlatformStore& store, EventLog& events);
 
-  /// Makes and stores a plan that replaces the whole configuration.
+  /// Creates and stores a plan that replaces the whole configuration. Throws
+  /// `Error(kIntentInvalid)` with all validation errors.
   PlanRecord ProposeDocument(const Json::Value& document);
 
-  /// Makes and stores a plan that changes one thing.
+  /// Creates and stores a plan that makes one change to the configuration.
+  /// Throws `Error(kIntentInvalid)` with all validation errors.
   PlanRecord ProposeChange(const IntentChange& change);
 
   /// Returns a stored plan. Throws `Error(kPlanUnknown)`.
   PlanRecord ShowPlan(const std::string& id);
 
-  /// Makes a plan the configuration in force; returns the new version. Safe to
-  /// repeat. Throws `Error(kPlanStale)` with what changed since.
+  /// Puts a plan's configuration in force; returns the new version. Idempotent.
+  /// Throws `Error(kPlanStale)`, with the changes since the plan's base, if
+  /// another version is in force by now.
   uint64_t Confirm(const std::string& id);
 
-  /// Discards an open plan.
+  /// Discards an open plan. Throws `Error(kPlanUnknown)` if the plan is not
+  /// open.
   void Abandon(const std::string& id);
 
-  /// Returns the newest plans, newest first, at most `limit`.
+  /// Returns up to `limit` plans, newest first.
   std::vector<PlanRecord> History(size_t limit);
 
-  /// Returns the configuration in force and its version.
+  /// Returns the configuration in force; sets `version` to its version, or to 0
+  /// if there is no configuration yet.
   Configuration ReadConfiguration(uint64_t& version);
 
-  /// Gives a cell's lease free after the operator's word that its holder and
-  /// standbys are gone for good.
+  /// Releases a cell's control lease on behalf of its holder. Safe only if the
+  /// operator has made sure that the holder and the standbys are gone for good.
+  /// Throws `Error(kPlatformConflict)` if the lease changed meanwhile.
   void ReleaseCell(const std::string& cell);
 
  private:
@@ -52,11 +58,11 @@
 
   CurrentVersion ReadCurrent();
   PlanRecord ReadPlan(const std::string& id, uint64_t& row_version);
-  PlanRecord StorePlan(const std::string& summary,
-                       const Configuration& base,
-                       uint64_t base_version,
-                       const Configuration& proposed);
-  void MarkPlan(PlanRecord plan, uint64_t row_version);
+  PlanRecord CreatePlan(const std::string& summary,
+                        const Configuration& base,
+                        uint64_t base_version,
+                        const Configuration& proposed);
+  void StorePlanState(PlanRecord plan, uint64_t row_version);
   [[noreturn]] void ThrowStale(const PlanRecord& plan);
 
   ControlLoop& m_loop;
--- a/src/daemon/status_report.cc
+++ b/src/daemon/status_report.cc
@@ -18,18 +18,18 @@
   return kNames.at(static_cast<size_t>(phase));
 }
 
-Json::Int64 Milliseconds(Duration duration) {
+Json::Int64 ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
       .count();
 }
 
-std::string DispatcherOf(const ControlTables& tables,
-                         const BackendServerRow& server) {
+std::string DispatcherAddress(const ControlTables& tables,
+                              const BackendServerRow& server) {
   const DispatcherRow* row = tables.m_dispatchers.Find(server.m_dispatcher);
   return row ? row->m_name.m_address : "";
 }
 
-Json::Value ServersOf(const ControlTables& tables, const CellRow& cell) {
+Json::Value DescribeServers(const ControlTables& tables, const CellRow& cell) {
   Json::Value servers(Json::arrayValue);
   for (const auto& [name, id] : cell.m_servers) {
     const BackendServerRow& server = tables.m_servers.Get(id);
@@ -39,7 +39,7 @@
     row["data_centre"] = server.m_config.m_data_centre;
     row["up"] = server.m_up;
     row["serving"] = server.m_serving;
-    row["dispatcher"] = DispatcherOf(tables, server);
+    row["dispatcher"] = DispatcherAddress(tables, server);
     row["in_flight"] = server.m_in_flight;
     row["queued"] = server.m_queued;
     row["partitions"] = 0;
@@ -53,7 +53,8 @@
   return servers;
 }
 
-Json::Value PartitionsOf(const ControlTables& tables, const CellRow& cell) {
+Json::Value DescribePartitions(const ControlTables& tables,
+                               const CellRow& cell) {
   Json::Value partitions(Json::arrayValue);
   for (const auto& [number, id] : cell.m_partitions) {
     const PartitionRow& partition = tables.m_partitions.Get(id);
@@ -69,9 +70,9 @@
   return partitions;
 }
 
-Json::Value DispatchersOf(const ControlTables& tables,
-                          CellId cell_id,
-                          TimePoint now) {
+Json::Value DescribeDispatchers(const ControlTables& tables,
+                                CellId cell_id,
+                                TimePoint now) {
   Json::Value dispatchers(Json::arrayValue);
   tables.m_dispatchers.ForEach([&](auto, const DispatcherRow& dispatcher) {
     if (dispatcher.m_cell != cell_id) {
@@ -82,17 +83,17 @@
     row["data_centre"] = dispatcher.m_data_centre;
     row["configuration"] = Json::UInt64(dispatcher.m_config_version);
     row["routes"] = Json::UInt64(dispatcher.m_routes_version);
-    row["heard_ms_ago"] = Milliseconds(now - dispatcher.m_last_sync);
+    row["heard_ms_ago"] = ToMilliseconds(now - dispatcher.m_last_sync);
     row["leaving"] = dispatcher.m_leaving;
     dispatchers.append(row);
   });
   return dispatchers;
 }
 
-Json::Value CellReport(const ControlTables& tables,
-                       CellId id,
-                       const CellRow& cell,
-                       TimePoint now) {
+Json::Value DescribeCell(const ControlTables& tables,
+                         CellId id,
+                         const CellRow& cell,
+                         TimePoint now) {
   Json::Value report;
   report["cell"] = cell.m_name;
   report["phase"] = NameOfPhase(cell.m_lease.m_phase);
@@ -103,13 +104,13 @@
     return report;
   }
   report["authority_left_ms"] =
-      Milliseconds(cell.m_lease.m_authority_until - now);
+      ToMilliseconds(cell.m_lease.m_authority_until - now);
   report["extended"] = cell.m_lease.m_extended;
   report["assignment_version"] =
       Json::UInt64(cell.m_assignment.m_record.m_version);
-  report["servers"] = ServersOf(tables, cell);
-  report["partitions"] = PartitionsOf(tables, cell);
-  report["dispatchers"] = DispatchersOf(tables, id, now);
+  report["servers"] = DescribeServers(tables, cell);
+  report["partitions"] = DescribePartitions(tables, cell);
+  report["dispatchers"] = DescribeDispatchers(tables, id, now);
   return report;
 }
 
@@ -124,7 +125,7 @@
   report["peers"] = Json::UInt64(tables.m_peers.size());
   report["cells"] = Json::Value(Json::arrayValue);
   tables.m_cells.ForEach([&](CellId id, const CellRow& cell) {
-    report["cells"].append(CellReport(tables, id, cell, now));
+    report["cells"].append(DescribeCell(tables, id, cell, now));
   });
   return report;
 }
@@ -159,15 +160,15 @@
   report["reason"] = partition.m_pinned_to.empty()
                          ? "placed by load over the serving servers"
                          : "pinned to " + partition.m_pinned_to;
-  report["since_ms"] = Milliseconds(now - partition.m_settled_at);
+  report["since_ms"] = ToMilliseconds(now - partition.m_settled_at);
   report["load"] = partition.m_load;
   report["controller"] = tables.m_self.m_address;
   report["control_epoch"] = Json::UInt64(cell->m_lease.m_record.m_epoch);
   if (owner) {
     report["owner_up"] = owner->m_up;
-    report["dispatcher"] = DispatcherOf(tables, *owner);
+    report["dispatcher"] = DispatcherAddress(tables, *owner);
   }
-  report["entries"] = DispatchersOf(tables, id, now);
+  report["entries"] = DescribeDispatchers(tables, id, now);
   return report;
 }
 
--- a/src/daemon/status_report.h
+++ b/src/daemon/status_report.h
@@ -9,12 +9,14 @@
 
 namespace foxtail {
 
-/// Describes what this control process knows: its cells, and for those it
-/// controls their servers, partitions and dispatchers.
+/// Describes the state of this control process: all cells and, for the cells
+/// that this process controls, their servers, partitions and dispatchers.
 Json::Value BuildStatusReport(const ControlTables& tables, TimePoint now);
 
-/// Explains where a key is served and why. Throws `Error(kNotController)` when
-/// this process does not control the service's cell.
+/// Describes which server owns a key and why. Throws `Error(kRouteUnknown)` for
+/// an unknown service, `Error(kNotController)` if this process doesn't control
+/// the service's cell and `Error(kPartitionNotServed)` if the key's partition
+/// is not in the assignment.
 Json::Value ExplainKey(const ControlTables& tables,
                        const std::string& service,
                        const std::string& key,
--- a/tests/config/configuration_json_test.cc
+++ b/tests/config/configuration_json_test.cc
@@ -59,9 +59,9 @@
 TEST(ConfigurationJsonTest, ReportsErrorsAcrossElements) {
   Json::Value document = ReadSample("rosario.json");
   document["services"][0]["servers"][1]["name"] = "catalogue-01";
-  document["services"][0]["servers"][2]["data_centre"] = "nowhere";
-  document["services"][0]["pinned_keys"][0]["server"] = "nobody";
-  document["workspaces"][1]["services"][0] = "nothing";
+  document["services"][0]["servers"][2]["data_centre"] = "unknown-data-centre";
+  document["services"][0]["pinned_keys"][0]["server"] = "unknown-server";
+  document["workspaces"][1]["services"][0] = "unknown-service";
   document["workspaces"][2]["api_keys"][0]["digest"] =
       document["workspaces"][0]["api_keys"][0]["digest"];
   EXPECT_EQ(ErrorPathsOf(document),
