--- a/src/control/plan_builder.h
+++ b/src/control/plan_builder.h
@@ -35,12 +35,12 @@
 /// invalid.
 void ApplyChange(const ConfigurationChange& change,
                  Configuration& configuration,
-                 std::vector<IntentFault>& errors);
+                 std::vector<ValidationError>& errors);
 
 /// Appends the validation errors that depend on the configuration in force.
 void ValidateChange(const Configuration& base,
                     const Configuration& proposed,
-                    std::vector<IntentFault>& errors);
+                    std::vector<ValidationError>& errors);
 
 /// Returns one line per difference between two configurations.
 std::vector<std::string> DescribeChanges(const Configuration& base,
--- a/src/entry/client_handler.cc
+++ b/src/entry/client_handler.cc
@@ -175,7 +175,7 @@
                 request.m_method + " /" + context.m_service + path);
   }
   context.m_query.m_cell = context.m_service;
-  context.m_query.m_idempotent = route->m_repeatable;
+  context.m_query.m_idempotent = route->m_idempotent;
 }
 
 void ClientHandler::Authorize(const HttpRequest& request,
--- a/tests/control/control_test.cc
+++ b/tests/control/control_test.cc
@@ -147,7 +147,7 @@
     assignment.m_owners.push_back(
         {i, "server-" + std::to_string(i % 4), 1, ""});
   }
-  std::vector<IntentFault> errors;
+  std::vector<ValidationError> errors;
   ApplyChange({"data_centre", "dc-1", "", "", "leaving", ""},
               plan.m_configuration, errors);
   ASSERT_TRUE(errors.empty());
@@ -162,10 +162,10 @@
   for (BackendServerConfig& server : proposed.m_services[0].m_servers) {
     server.m_state = ServingState::kLeaving;
   }
-  std::vector<IntentFault> errors;
+  std::vector<ValidationError> errors;
   ValidateChange(OneService(), proposed, errors);
   ASSERT_EQ(errors.size(), 1U);
-  EXPECT_EQ(errors[0].m_place, "services.catalogue.servers");
+  EXPECT_EQ(errors[0].m_path, "services.catalogue.servers");
 }
 
 }  // namespace
