--- a/benchmarks/control/control_tick_benchmark.cc
+++ b/benchmarks/control/control_tick_benchmark.cc
@@ -127,7 +127,7 @@
   SyncResponse response;
   for (int64_t i = 0; i < state.range(0); ++i) {
     const std::string name = "catalogue-" + std::to_string(i);
-    request.m_held_servers.push_back(name);
+    request.m_leased_servers.push_back(name);
     request.m_observations.push_back({name, 1, 0, 100, 0});
     request.m_loads.push_back({static_cast<PartitionNumber>(i), 100});
     response.m_leased_servers.push_back(name);
--- a/src/apps/foxtail_control.cc
+++ b/src/apps/foxtail_control.cc
@@ -9,11 +9,11 @@
 #include "daemon/daemon_settings.h"
 #include "daemon/operator_service.h"
 #include "messages/codec.h"
-#include "platform/row_store.h"
+#include "platform/platform_table_store.h"
 #include "runtime/address_list.h"
 #include "runtime/cluster_call.h"
 #include "runtime/http_server.h"
-#include "store/record_store.h"
+#include "store/table_record_repository.h"
 
 namespace foxtail {
 namespace {
@@ -143,8 +143,8 @@
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
-  RowStore rows(ParseAddress(settings.m_platform));
-  RecordStore store(rows, settings.m_platform_timeout);
+  PlatformTableStore rows(ParseAddress(settings.m_platform));
+  TableRecordRepository store(rows, settings.m_platform_timeout);
   ControlLoop loop(settings, {RandomToken(), settings.m_listen}, store, events);
   OperatorService operators(loop, store, events);
   ControlFront front(settings, loop, operators);
--- a/src/apps/foxtail_gateway.cc
+++ b/src/apps/foxtail_gateway.cc
@@ -6,10 +6,10 @@
 #include "gateway/control_thread.h"
 #include "gateway/gateway_settings.h"
 #include "gateway/gateway_thread.h"
-#include "platform/operator_rows.h"
-#include "platform/platform_front.h"
-#include "platform/row_store.h"
-#include "platform/server_orders.h"
+#include "platform/operator_rows_decoder.h"
+#include "platform/platform_front_end.h"
+#include "platform/platform_table_store.h"
+#include "platform/server_control_client.h"
 #include "runtime/address.h"
 
 namespace foxtail {
@@ -50,14 +50,15 @@
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
-  const OperatorRows decoder;
-  const PlatformFront front;
+  const OperatorRowsDecoder decoder;
+  const PlatformFrontEnd front;
   const Address store = ParseAddress(settings.m_store);
   GatewayThread traffic(settings, front, events);
-  ControlThread control(settings, decoder,
-                        {[store] { return std::make_unique<RowStore>(store); },
-                         [] { return std::make_unique<ServerOrders>(); }},
-                        traffic, events);
+  ControlThread control(
+      settings, decoder,
+      {[store] { return std::make_unique<PlatformTableStore>(store); },
+       [] { return std::make_unique<ServerControlClient>(); }},
+      traffic, events);
   traffic.Start(control);
   control.Start();
   events.Write(EventNumber::kProcessStarted, {{"address", settings.m_listen}});
--- a/src/apps/program.h
+++ b/src/apps/program.h
@@ -42,15 +42,15 @@
   std::vector<SettingSpec> specs = SpecsOf(rows, settings);
   try {
     switch (ReadSettings(argc, argv, environment, prefix, specs)) {
-      case SettingsRequest::kHelp:
+      case RunMode::kHelp:
         std::cout << SettingsHelp(argv[0], brief, specs);
         return kExitDone;
-      case SettingsRequest::kCheck:
+      case RunMode::kCheck:
         StoreSettings(rows, specs, settings);
         check(settings);
         std::cout << "settings are valid\n";
         return kExitDone;
-      case SettingsRequest::kRun:
+      case RunMode::kRun:
         break;
     }
     StoreSettings(rows, specs, settings);
--- a/src/control/assignment_system.cc
+++ b/src/control/assignment_system.cc
@@ -28,7 +28,7 @@
 
   void OnRead(const RowAnswer& answer) {
     m_state.m_busy = false;
-    if (answer.m_result.m_outcome == RowOutcome::kNoAnswer) {
+    if (answer.m_result.m_outcome == RowOutcome::kNoResponse) {
       m_state.m_next_operation = m_now + kRetryDelay;
       return;
     }
--- a/src/control/config_system.cc
+++ b/src/control/config_system.cc
@@ -10,7 +10,7 @@
 }
 
 // The plan that was confirmed holds the configuration.
-RowKey DocumentKey(const VersionRecord& record) {
+RowKey DocumentKey(const CurrentConfigRecord& record) {
   return {"plan", record.m_plan};
 }
 
@@ -113,11 +113,12 @@
 void OnVersion(ControlContext& context, const RowAnswer& answer) {
   ControlTables& tables = context.m_tables;
   tables.m_config.m_busy = false;
-  if (answer.m_result.m_outcome == RowOutcome::kNoAnswer) {
+  if (answer.m_result.m_outcome == RowOutcome::kNoResponse) {
     return;
   }
   tables.m_config.m_fresh_at = answer.m_sent;
-  const auto* record = std::get_if<VersionRecord>(&answer.m_result.m_value);
+  const auto* record =
+      std::get_if<CurrentConfigRecord>(&answer.m_result.m_value);
   if (!record) {
     Adopt(context, 0, Configuration());
     return;
--- a/src/control/control_messages.h
+++ b/src/control/control_messages.h
@@ -7,7 +7,7 @@
 
 #include "control/control_tables.h"
 #include "core/event.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 
 namespace foxtail {
 
@@ -31,7 +31,7 @@
 /// A standby's answer to a request for a promise.
 struct PromiseAnswer {
   CellId m_cell;
-  ControlInstance m_standby;
+  ControlProcess m_standby;
   uint64_t m_epoch = 0;
   bool m_given = false;
   TimePoint m_sent;
@@ -41,7 +41,7 @@
 struct PromiseAsked {
   uint64_t m_handle = 0;
   std::string m_cell;
-  ControlInstance m_holder;
+  ControlProcess m_holder;
   uint64_t m_epoch = 0;
 };
 
@@ -50,14 +50,14 @@
   BackendServerId m_server;
   uint64_t m_number = 0;
   bool m_accepted = false;
-  std::string m_instance;
+  std::string m_incarnation;
 };
 
 /// A backend server's answer to a probe, or its absence.
 struct ProbeAnswer {
   BackendServerId m_server;
   bool m_answered = false;
-  std::string m_instance;
+  std::string m_incarnation;
 };
 
 /// A dispatcher's sync request.
@@ -76,7 +76,7 @@
 
 /// Another control process that answered.
 struct PeerAnswer {
-  ControlInstance m_peer;
+  ControlProcess m_peer;
   std::string m_data_centre;
 };
 
@@ -112,7 +112,7 @@
 struct AskPromise {
   CellId m_cell;
   std::string m_cell_name;
-  ControlInstance m_standby;
+  ControlProcess m_standby;
   uint64_t m_epoch = 0;
 };
 
--- a/src/control/control_tables.h
+++ b/src/control/control_tables.h
@@ -28,7 +28,7 @@
 
 /// Another control process.
 struct PeerRow {
-  ControlInstance m_self;
+  ControlProcess m_self;
   std::string m_data_centre;
   TimePoint m_seen;
 };
@@ -81,7 +81,7 @@
   TimePoint m_confirmed_at;
 
   /// Standbys that might take over, and until when each promised not to.
-  std::map<ControlInstance, TimePoint> m_promises;
+  std::map<ControlProcess, TimePoint> m_promises;
   TimePoint m_next_promise_round;
   bool m_extended = false;
 
@@ -178,7 +178,7 @@
   uint32_t m_probe_failures = 0;
 
   /// Id of the server's run, from its answers.
-  std::string m_instance;
+  std::string m_incarnation;
 
   /// The only dispatcher that may send to it.
   DispatcherId m_dispatcher;
@@ -266,7 +266,7 @@
 /// A dispatcher: one traffic thread of an entry, as known to one cell.
 struct DispatcherRow {
   CellId m_cell;
-  DispatcherName m_name;
+  DispatcherIdentity m_name;
   std::string m_data_centre;
 
   TimePoint m_last_sync;
@@ -279,9 +279,9 @@
   uint64_t m_routes_version = 0;
   uint64_t m_config_version = 0;
   uint64_t m_applied_number = 0;
-  std::set<PartitionNumber> m_draining;
+  std::set<PartitionNumber> m_draining_partitions;
   std::set<std::string> m_draining_servers;
-  bool m_leaving = false;
+  bool m_shutting_down = false;
 };
 
 /// A workspace of the access cell.
@@ -292,7 +292,7 @@
 /// What a dispatcher handed over with a partition.
 struct MemoryRow {
   CellId m_cell;
-  PartitionMemory m_memory;
+  PartitionDedupState m_memory;
   TimePoint m_until;
 };
 
@@ -300,7 +300,7 @@
 struct CrashRow {
   CellId m_cell;
   CrashSuspect m_suspect;
-  bool m_condemned = false;
+  bool m_quarantined = false;
   TimePoint m_until;
 };
 
@@ -322,7 +322,7 @@
 /// All state of the control thread.
 struct ControlTables {
   ControlSettings m_settings;
-  ControlInstance m_self;
+  ControlProcess m_self;
   std::string m_data_centre;
   TimePoint m_started;
   bool m_stopping = false;
@@ -334,7 +334,7 @@
   Table<PartitionRow> m_partitions;
   Table<DispatcherRow> m_dispatchers;
   Table<WorkspaceRow> m_workspaces;
-  Table<MemoryRow> m_memories;
+  Table<MemoryRow> m_dedup_states;
   Table<CrashRow> m_crashes;
 };
 
--- a/src/control/crash_system.cc
+++ b/src/control/crash_system.cc
@@ -21,7 +21,7 @@
 // A condemned request stays condemned until its time is over.
 void Clear(ControlTables& tables, CellId cell_id, uint64_t fingerprint) {
   tables.m_crashes.ForEach([&](auto id, const CrashRow& row) {
-    if (row.m_cell == cell_id && !row.m_condemned &&
+    if (row.m_cell == cell_id && !row.m_quarantined &&
         row.m_suspect.m_fingerprint == fingerprint) {
       tables.m_crashes.Erase(id);
     }
@@ -43,9 +43,9 @@
   row.m_suspect.m_shared_crashes += report.m_shared_crashes;
   row.m_suspect.m_solo_crashes += report.m_solo_crashes;
   cell.m_changed = true;
-  if (!row.m_condemned &&
+  if (!row.m_quarantined &&
       row.m_suspect.m_solo_crashes >= tables.m_settings.m_condemn_crashes) {
-    row.m_condemned = true;
+    row.m_quarantined = true;
     context.m_outbox.m_events.push_back(
         {EventNumber::kRequestCondemned,
          {{"cell", cell.m_name},
--- a/src/control/dispatcher_system.cc
+++ b/src/control/dispatcher_system.cc
@@ -59,7 +59,7 @@
     DispatcherRow& row = m_tables.m_dispatchers.Get(id);
     row.m_data_centre = request.m_data_centre;
     row.m_last_sync = std::max(row.m_last_sync, asked.m_received);
-    row.m_leaving = row.m_leaving || request.m_leaving;
+    row.m_shutting_down = row.m_shutting_down || request.m_shutting_down;
     if (!known) {
       row.m_last_acknowledged = m_now;
     }
@@ -104,9 +104,9 @@
     row.m_control_epoch = request.m_control_epoch;
     row.m_routes_version = request.m_routes_version;
     row.m_applied_number = request.m_applied_number;
-    row.m_draining.clear();
-    for (const DrainingPartition& draining : request.m_draining) {
-      row.m_draining.insert(draining.m_number);
+    row.m_draining_partitions.clear();
+    for (const DrainingPartition& draining : request.m_draining_partitions) {
+      row.m_draining_partitions.insert(draining.m_number);
     }
     row.m_draining_servers = {request.m_draining_servers.begin(),
                               request.m_draining_servers.end()};
@@ -114,7 +114,7 @@
 
   // After a takeover the dispatchers tell what they hold and keep it.
   void AdoptClaims(DispatcherId id, const SyncRequest& request) {
-    for (const std::string& name : request.m_held_servers) {
+    for (const std::string& name : request.m_leased_servers) {
       const auto found = m_cell.m_servers.find(name);
       if (found == m_cell.m_servers.end()) {
         continue;
@@ -143,7 +143,7 @@
     }
     const double weight =
         1 - std::exp(-ToSeconds(elapsed) / ToSeconds(kLoadMemory));
-    for (const std::string& name : asked.m_request.m_held_servers) {
+    for (const std::string& name : asked.m_request.m_leased_servers) {
       const auto server = m_cell.m_servers.find(name);
       for (const auto& [number, id] : m_cell.m_partitions) {
         PartitionRow& partition = m_tables.m_partitions.Get(id);
@@ -164,24 +164,24 @@
       BackendServerRow& server = m_tables.m_servers.Get(found->second);
       server.m_in_flight = seen.m_in_flight;
       server.m_queued = seen.m_queued;
-      if (seen.m_lost > 0) {
+      if (seen.m_connection_failures > 0) {
         server.m_next_probe = m_now;
       }
     }
   }
 
   void NoteMemories(const SyncRequest& request) {
-    for (const PartitionMemory& memory : request.m_memories) {
+    for (const PartitionDedupState& memory : request.m_dedup_states) {
       ForgetMemory(memory.m_number);
-      m_tables.m_memories.Insert(
+      m_tables.m_dedup_states.Insert(
           {m_id, memory, m_now + m_tables.m_settings.m_retention});
     }
   }
 
   void ForgetMemory(PartitionNumber number) {
-    m_tables.m_memories.ForEach([&](auto id, const MemoryRow& row) {
+    m_tables.m_dedup_states.ForEach([&](auto id, const MemoryRow& row) {
       if (row.m_cell == m_id && row.m_memory.m_number == number) {
-        m_tables.m_memories.Erase(id);
+        m_tables.m_dedup_states.Erase(id);
       }
     });
   }
@@ -274,7 +274,7 @@
 
   bool IsLive(const DispatcherRow& row) const {
     const Duration patience = m_tables.m_settings.m_sync_patience;
-    return row.m_cell == m_id && !row.m_leaving &&
+    return row.m_cell == m_id && !row.m_shutting_down &&
            m_now - row.m_last_sync <= patience &&
            m_now - row.m_last_acknowledged <= patience;
   }
--- a/src/control/handover_system.cc
+++ b/src/control/handover_system.cc
@@ -68,7 +68,7 @@
       const bool acknowledged =
           dispatcher->m_control_epoch == m_cell.m_lease.m_record.m_epoch &&
           dispatcher->m_routes_version >= m_partition.m_dropped_at &&
-          !dispatcher->m_draining.contains(m_partition.m_number);
+          !dispatcher->m_draining_partitions.contains(m_partition.m_number);
       if (!acknowledged) {
         return false;
       }
@@ -131,9 +131,9 @@
 
   // A partition that never had an owner has no request ids to be unsure of.
   void NoteFirstOwner() {
-    PartitionMemory memory;
+    PartitionDedupState memory;
     memory.m_number = m_partition.m_number;
-    m_tables.m_memories.Insert(
+    m_tables.m_dedup_states.Insert(
         {m_partition.m_cell, memory, m_now + m_tables.m_settings.m_retention});
   }
 
--- a/src/control/lease_system.cc
+++ b/src/control/lease_system.cc
@@ -22,7 +22,7 @@
   return {"lease", cell.m_name};
 }
 
-bool IsStandby(const LeaseRecord& record, const ControlInstance& self) {
+bool IsStandby(const LeaseRecord& record, const ControlProcess& self) {
   return std::ranges::find(record.m_standbys, self) != record.m_standbys.end();
 }
 
@@ -41,7 +41,7 @@
   void OnRead(const RowAnswer& answer) {
     m_lease.m_busy = false;
     m_lease.m_platform_answers =
-        answer.m_result.m_outcome != RowOutcome::kNoAnswer;
+        answer.m_result.m_outcome != RowOutcome::kNoResponse;
     if (!m_lease.m_platform_answers) {
       m_lease.m_next_operation = m_now + kRetryDelay;
       return;
@@ -57,14 +57,14 @@
 
   void OnWritten(const RowAnswer& answer) {
     m_lease.m_busy = false;
-    if (answer.m_result.m_outcome == RowOutcome::kNoAnswer) {
+    if (answer.m_result.m_outcome == RowOutcome::kNoResponse) {
       m_lease.m_uncertain = true;
       m_lease.m_platform_answers = false;
       m_lease.m_next_operation = m_now + kRetryDelay;
       return;
     }
     m_lease.m_platform_answers = true;
-    if (answer.m_result.m_outcome == RowOutcome::kMismatch) {
+    if (answer.m_result.m_outcome == RowOutcome::kVersionMismatch) {
       // Either another process was first or an earlier write of ours that went
       // unanswered took effect; the row tells.
       m_lease.m_uncertain = true;
@@ -122,7 +122,8 @@
 
  private:
   void NoteRow(const RowAnswer& answer) {
-    const bool missing = answer.m_result.m_outcome == RowOutcome::kMismatch;
+    const bool missing =
+        answer.m_result.m_outcome == RowOutcome::kVersionMismatch;
     const uint64_t version = missing ? 0 : answer.m_result.m_version;
     if (m_lease.m_row_known && version == m_lease.m_row_version) {
       return;
@@ -220,7 +221,7 @@
   }
 
   void NamePossibleStandbys(const LeaseRecord& record) {
-    for (const ControlInstance& standby : record.m_standbys) {
+    for (const ControlProcess& standby : record.m_standbys) {
       m_lease.m_promises.try_emplace(standby, TimePoint());
     }
   }
--- a/src/control/partition_moves.cc
+++ b/src/control/partition_moves.cc
@@ -143,7 +143,7 @@
                     TimePoint now) {
   EraseOfCell(tables.m_partitions, cell_id);
   EraseOfCell(tables.m_dispatchers, cell_id);
-  EraseOfCell(tables.m_memories, cell_id);
+  EraseOfCell(tables.m_dedup_states, cell_id);
   cell.m_partitions.clear();
   for (const PartitionOwner& owner : cell.m_assignment.m_record.m_owners) {
     PartitionRow row;
--- a/src/control/publish_system.cc
+++ b/src/control/publish_system.cc
@@ -71,8 +71,8 @@
       if (row.m_cell != m_id) {
         return;
       }
-      if (row.m_condemned) {
-        routes->m_condemned.push_back(row.m_suspect.m_fingerprint);
+      if (row.m_quarantined) {
+        routes->m_quarantined.push_back(row.m_suspect.m_fingerprint);
       } else {
         routes->m_suspects.push_back(row.m_suspect);
       }
@@ -111,7 +111,7 @@
     response.m_control_epoch = m_cell.m_lease.m_record.m_epoch;
     response.m_config_version = m_tables.m_config.m_version;
     response.m_number = ++m_cell.m_response_number;
-    response.m_authority_left = std::chrono::duration_cast<milliseconds>(
+    response.m_authority_ttl = std::chrono::duration_cast<milliseconds>(
         m_cell.m_lease.m_authority_until - m_now);
     if (m_cell.IsAccess()) {
       AnswerAccess(parked, response);
@@ -139,13 +139,13 @@
       response.m_routes = m_cell.m_routes;
     }
     const ControlSettings& settings = m_tables.m_settings;
-    response.m_held_for = std::chrono::duration_cast<milliseconds>(
+    response.m_pending_for = std::chrono::duration_cast<milliseconds>(
         (m_now - parked.m_received) * (1.0 - settings.m_clock_drift));
     // A lease that ends soon after this controller's authority lets a successor
     // go on soon after a loss of both.
-    response.m_lease =
+    response.m_lease_ttl =
         std::min(settings.m_dispatch_lease,
-                 response.m_authority_left + settings.m_dispatch_excess);
+                 response.m_authority_ttl + settings.m_dispatch_excess);
     for (const auto& [name, id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(id);
       if (server.m_dispatcher != parked.m_dispatcher ||
@@ -163,13 +163,13 @@
   }
 
   void AddMemories(BackendServerId server, SyncResponse& response) {
-    m_tables.m_memories.ForEach([&](auto, const MemoryRow& row) {
+    m_tables.m_dedup_states.ForEach([&](auto, const MemoryRow& row) {
       const auto found = m_cell.m_partitions.find(row.m_memory.m_number);
       if (row.m_cell != m_id || found == m_cell.m_partitions.end()) {
         return;
       }
       if (m_tables.m_partitions.Get(found->second).m_owner == server) {
-        response.m_memories.push_back(row.m_memory);
+        response.m_dedup_states.push_back(row.m_memory);
       }
     });
   }
@@ -182,9 +182,9 @@
 };
 
 void DropOldMemories(ControlTables& tables, TimePoint now) {
-  tables.m_memories.ForEach([&](auto id, const MemoryRow& row) {
+  tables.m_dedup_states.ForEach([&](auto id, const MemoryRow& row) {
     if (now >= row.m_until) {
-      tables.m_memories.Erase(id);
+      tables.m_dedup_states.Erase(id);
     }
   });
 }
--- a/src/control/server_system.cc
+++ b/src/control/server_system.cc
@@ -33,9 +33,9 @@
     server->m_up = true;
     Note(context, EventNumber::kServerUp, cell, *server);
   }
-  if (server->m_instance != answer.m_instance) {
+  if (server->m_incarnation != answer.m_incarnation) {
     // A restarted server has no grants.
-    server->m_instance = answer.m_instance;
+    server->m_incarnation = answer.m_incarnation;
     server->m_grant_due = true;
   }
 }
--- a/src/control/standby_choice.cc
+++ b/src/control/standby_choice.cc
@@ -9,8 +9,8 @@
 
 constexpr std::chrono::milliseconds kPeerTimeout{3000};
 
-uint64_t Weight(const CellRow& cell, const ControlInstance& instance) {
-  return FastHash(cell.m_name + "@" + instance.m_instance);
+uint64_t Weight(const CellRow& cell, const ControlProcess& instance) {
+  return FastHash(cell.m_name + "@" + instance.m_incarnation);
 }
 
 std::vector<const PeerRow*> LivePeers(const ControlTables& tables,
@@ -38,9 +38,9 @@
 }
 
 // Other data centres come first, so that one loss spares the standbys.
-std::vector<ControlInstance> ChooseStandbys(const ControlTables& tables,
-                                            const CellRow& cell,
-                                            TimePoint now) {
+std::vector<ControlProcess> ChooseStandbys(const ControlTables& tables,
+                                           const CellRow& cell,
+                                           TimePoint now) {
   std::vector<const PeerRow*> peers = LivePeers(tables, now);
   std::ranges::sort(peers, [&](const PeerRow* a, const PeerRow* b) {
     const bool a_near = a->m_data_centre == tables.m_data_centre;
@@ -50,7 +50,7 @@
     }
     return Weight(cell, a->m_self) > Weight(cell, b->m_self);
   });
-  std::vector<ControlInstance> chosen;
+  std::vector<ControlProcess> chosen;
   for (const PeerRow* peer : peers) {
     if (chosen.size() < tables.m_settings.m_standby_count) {
       chosen.push_back(peer->m_self);
--- a/src/control/standby_choice.h
+++ b/src/control/standby_choice.h
@@ -13,8 +13,8 @@
 
 /// Returns the processes that the lease of a cell should name as standbys,
 /// sorted.
-std::vector<ControlInstance> ChooseStandbys(const ControlTables& tables,
-                                            const CellRow& cell,
-                                            TimePoint now);
+std::vector<ControlProcess> ChooseStandbys(const ControlTables& tables,
+                                           const CellRow& cell,
+                                           TimePoint now);
 
 }  // namespace foxtail
--- a/src/control/token_system.cc
+++ b/src/control/token_system.cc
@@ -17,7 +17,7 @@
   }
   for (const TokensAsked& asked : context.m_inbox.m_tokens) {
     TokenResponse response;
-    response.m_lifetime = tables.m_settings.m_token_lifetime;
+    response.m_token_ttl = tables.m_settings.m_token_lifetime;
     response.m_status = holds ? SyncStatus::kOk : SyncStatus::kNotController;
     if (!holds && cell) {
       response.m_controller = cell->m_lease.m_record.m_holder.m_address;
--- a/src/core/settings.cc
+++ b/src/core/settings.cc
@@ -21,10 +21,10 @@
 
 std::string RangeOf(const SettingSpec& spec) {
   if (spec.m_is_text) {
-    return fmt::format("{} to {} characters", spec.m_low, spec.m_high);
+    return fmt::format("{} to {} characters", spec.m_min, spec.m_max);
   }
-  return fmt::format("a whole number from {} to {} ({})", spec.m_low,
-                     spec.m_high, spec.m_unit);
+  return fmt::format("a whole number from {} to {} ({})", spec.m_min,
+                     spec.m_max, spec.m_unit);
 }
 
 void Check(const SettingSpec& spec, const std::string& source) {
@@ -38,7 +38,7 @@
       Refuse(source, value, RangeOf(spec));
     }
   }
-  if (measure < spec.m_low || measure > spec.m_high) {
+  if (measure < spec.m_min || measure > spec.m_max) {
     Refuse(source, value, RangeOf(spec));
   }
 }
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-SettingsRequest ReadSettings(int argc,
-                             const char* const* argv,
-                             const char* const* environment,
-                             const std::string& prefix,
-                             std::vector<SettingSpec>& specs) {
+RunMode ReadSettings(int argc,
+                     const char* const* argv,
+                     const char* const* environment,
+                     const std::string& prefix,
+                     std::vector<SettingSpec>& specs) {
   std::vector<std::string> sources(specs.size());
   ReadEnvironment(environment, prefix, specs, sources);
   TCLAP::CmdLine line("", ' ', "", false);
@@ -88,7 +88,7 @@
     Refuse(failure.argId(), failure.error(), "the flags listed by --help");
   }
   if (help.getValue()) {
-    return SettingsRequest::kHelp;
+    return RunMode::kHelp;
   }
   for (size_t i = 0; i < specs.size(); ++i) {
     if (arguments[i]->isSet()) {
@@ -97,7 +97,7 @@
     }
     Check(specs[i], sources[i].empty() ? "--" + specs[i].m_flag : sources[i]);
   }
-  return check.getValue() ? SettingsRequest::kCheck : SettingsRequest::kRun;
+  return check.getValue() ? RunMode::kCheck : RunMode::kRun;
 }
 
 std::string SettingsHelp(const std::string& program,
@@ -125,7 +125,7 @@
     text += fmt::format("| `--{}` | `{}` | {} | {} | {} to {} | {} |\n",
                         spec.m_flag, spec.m_variable,
                         spec.m_default.empty() ? "none" : spec.m_default,
-                        spec.m_unit, spec.m_low, spec.m_high, spec.m_brief);
+                        spec.m_unit, spec.m_min, spec.m_max, spec.m_brief);
   }
   return text;
 }
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -24,8 +24,8 @@
   const char* m_unit;
 
   /// Allowed range of a number; for a text, of its length.
-  uint32_t m_low;
-  uint32_t m_high;
+  uint32_t m_min;
+  uint32_t m_max;
   const char* m_brief;
   std::variant<std::string Settings::*,
                uint32_t Settings::*,
@@ -38,8 +38,8 @@
   std::string m_flag;
   std::string m_variable;
   std::string m_unit;
-  uint32_t m_low = 0;
-  uint32_t m_high = 0;
+  uint32_t m_min = 0;
+  uint32_t m_max = 0;
   std::string m_brief;
   std::string m_default;
   bool m_is_text = false;
@@ -49,7 +49,7 @@
 };
 
 /// What a command line asks for besides settings.
-enum class SettingsRequest {
+enum class RunMode {
   kRun,
   kCheck,
   kHelp,
@@ -58,11 +58,11 @@
 /// Reads flags and variables into `specs`. `prefix` is that of the program's
 /// variables; an unknown variable with it is a fault. Throws
 /// `Error(kSettingInvalid)` naming the setting, its value and what is allowed.
-SettingsRequest ReadSettings(int argc,
-                             const char* const* argv,
-                             const char* const* environment,
-                             const std::string& prefix,
-                             std::vector<SettingSpec>& specs);
+RunMode ReadSettings(int argc,
+                     const char* const* argv,
+                     const char* const* environment,
+                     const std::string& prefix,
+                     std::vector<SettingSpec>& specs);
 
 /// Prints the settings as help text.
 std::string SettingsHelp(const std::string& program,
@@ -79,7 +79,7 @@
   std::vector<SettingSpec> specs;
   for (const SettingRow<Settings>& row : rows) {
     SettingSpec spec{row.m_flag, row.m_variable, row.m_unit,
-                     row.m_low,  row.m_high,     row.m_brief,
+                     row.m_min,  row.m_max,      row.m_brief,
                      "",         false,          ""};
     if (const auto* text = std::get_if<0>(&row.m_member)) {
       spec.m_is_text = true;
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -52,8 +52,8 @@
 }  // namespace
 
 ControlLoop::ControlLoop(const DaemonSettings& settings,
-                         ControlInstance self,
-                         PlatformStore& store,
+                         ControlProcess self,
+                         RecordRepository& store,
                          EventLog& events)
     : m_settings(settings),
       m_store(store),
@@ -121,7 +121,7 @@
     StartFiber([this, read, sent = Clock::now()] {
       RowAnswer answer{read.m_purpose, read.m_cell, false, {}, sent};
       answer.m_result = m_store.Read(read.m_key);
-      NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoAnswer);
+      NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoResponse);
       m_inbox.m_rows.push_back(std::move(answer));
       m_arrived.Notify();
     });
@@ -131,7 +131,7 @@
       RowAnswer answer{write.m_purpose, write.m_cell, true, {}, sent};
       answer.m_result =
           m_store.Write(write.m_key, write.m_if_version, write.m_value);
-      NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoAnswer);
+      NotePlatform(answer.m_result.m_outcome != RowOutcome::kNoResponse);
       m_inbox.m_rows.push_back(std::move(answer));
       m_arrived.Notify();
     });
@@ -180,7 +180,7 @@
       m_client.Exchange(ParseAddress(probe.m_address), request,
                         Clock::now() + m_settings.m_server_timeout);
   answer.m_answered = result.m_ok && result.m_response.m_status == kStatusOk;
-  answer.m_instance =
+  answer.m_incarnation =
       result.m_response.m_headers.GetOr("x-server-instance", "");
   m_inbox.m_probes.push_back(std::move(answer));
   m_arrived.Notify();
@@ -243,7 +243,7 @@
 }
 
 bool ControlLoop::Promise(const std::string& cell,
-                          const ControlInstance& holder,
+                          const ControlProcess& holder,
                           uint64_t epoch) {
   const uint64_t handle = ++m_last_handle;
   auto answer = m_promises[handle].get_future();
@@ -252,7 +252,7 @@
   return answer.get();
 }
 
-void ControlLoop::NotePeer(const ControlInstance& peer,
+void ControlLoop::NotePeer(const ControlProcess& peer,
                            const std::string& data_centre) {
   m_inbox.m_peers.push_back({peer, data_centre});
 }
--- a/src/daemon/control_loop.h
+++ b/src/daemon/control_loop.h
@@ -11,7 +11,7 @@
 #include "daemon/daemon_settings.h"
 #include "runtime/fiber_event.h"
 #include "runtime/http_client.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 
 namespace foxtail {
 
@@ -21,8 +21,8 @@
 class ControlLoop {
  public:
   ControlLoop(const DaemonSettings& settings,
-              ControlInstance self,
-              PlatformStore& store,
+              ControlProcess self,
+              RecordRepository& store,
               EventLog& events);
 
   /// Runs ticks until `Stop` and all leases are given back.
@@ -39,11 +39,11 @@
 
   /// Answers a holder that asks for a promise.
   bool Promise(const std::string& cell,
-               const ControlInstance& holder,
+               const ControlProcess& holder,
                uint64_t epoch);
 
   /// Notes another control process.
-  void NotePeer(const ControlInstance& peer, const std::string& data_centre);
+  void NotePeer(const ControlProcess& peer, const std::string& data_centre);
 
   /// Reads the configuration again at once.
   void PollConfig();
@@ -73,7 +73,7 @@
   static void Complete(Waiting<Response>& waiting, Answers& answers);
 
   const DaemonSettings& m_settings;
-  PlatformStore& m_store;
+  RecordRepository& m_store;
   EventLog& m_events;
   HttpClient m_client;
   ControlTables m_tables;
--- a/src/daemon/control_rpc.cc
+++ b/src/daemon/control_rpc.cc
@@ -89,7 +89,7 @@
   Answer(result, [&] {
     const ControlTables& tables = m_loop.GetTables();
     Json::Value self;
-    self["instance"] = tables.m_self.m_instance;
+    self["instance"] = tables.m_self.m_incarnation;
     self["address"] = tables.m_self.m_address;
     self["data_centre"] = tables.m_data_centre;
     return self;
@@ -99,7 +99,7 @@
 void ControlRpc::Promise(const Json::Value& parameters, Json::Value& result) {
   Answer(result, [&] {
     const bool addressed = parameters["standby"].asString() ==
-                           m_loop.GetTables().m_self.m_instance;
+                           m_loop.GetTables().m_self.m_incarnation;
     return Json::Value(addressed &&
                        m_loop.Promise(parameters["cell"].asString(),
                                       {parameters["instance"].asString(),
--- a/src/daemon/control_rpc_client.cc
+++ b/src/daemon/control_rpc_client.cc
@@ -51,14 +51,14 @@
 }
 
 bool ControlRpcClient::AskPromise(const struct AskPromise& ask,
-                                  const ControlInstance& self) const {
+                                  const ControlProcess& self) const {
   Json::Value parameters;
   parameters["cell"] = ask.m_cell_name;
-  parameters["instance"] = self.m_instance;
+  parameters["instance"] = self.m_incarnation;
   parameters["address"] = self.m_address;
   parameters["epoch"] = Json::Int64(ask.m_epoch);
   // A restarted standby is another instance and may not promise for this one.
-  parameters["standby"] = ask.m_standby.m_instance;
+  parameters["standby"] = ask.m_standby.m_incarnation;
   return Call(ask.m_standby.m_address, "promise", parameters).asBool();
 }
 
--- a/src/daemon/control_rpc_client.h
+++ b/src/daemon/control_rpc_client.h
@@ -24,7 +24,7 @@
 
   /// Asks a standby for a promise; returns whether it was given.
   bool AskPromise(const struct AskPromise& ask,
-                  const ControlInstance& self) const;
+                  const ControlProcess& self) const;
 
   /// Greets another control process; returns who it is.
   PeerAnswer Hello(const std::string& address) const;
--- a/src/daemon/operator_service.cc
+++ b/src/daemon/operator_service.cc
@@ -28,11 +28,11 @@
 }
 
 // Reads a row, trying a few times with jittered pauses.
-RowResult ReadOrThrow(PlatformStore& store, const RowKey& key) {
+RowResult ReadOrThrow(RecordRepository& store, const RowKey& key) {
   static thread_local std::minstd_rand random{std::random_device{}()};
   for (int i = 0; i < kAttempts; ++i) {
     RowResult result = store.Read(key);
-    if (result.m_outcome != RowOutcome::kNoAnswer) {
+    if (result.m_outcome != RowOutcome::kNoResponse) {
       return result;
     }
     std::uniform_int_distribution<int64_t> jitter(kRetryPause.count() / 2,
@@ -64,7 +64,7 @@
 }  // namespace
 
 OperatorService::OperatorService(ControlLoop& loop,
-                                 PlatformStore& store,
+                                 RecordRepository& store,
                                  EventLog& events)
     : m_loop(loop), m_store(store), m_events(events) {}
 
@@ -72,7 +72,7 @@
   const RowResult result = ReadOrThrow(m_store, CurrentKey());
   CurrentVersion current;
   current.m_row_version = result.m_version;
-  if (const auto* record = std::get_if<VersionRecord>(&result.m_value)) {
+  if (const auto* record = std::get_if<CurrentConfigRecord>(&result.m_value)) {
     current.m_record = *record;
   }
   return current;
@@ -143,7 +143,7 @@
   }
   EstimateCost(BoundedLoadPlacement(kPlacementBound), assignments, plan);
   const RowResult written = m_store.Write(PlanKey(plan.m_id), 0, plan);
-  if (written.m_outcome == RowOutcome::kNoAnswer) {
+  if (written.m_outcome == RowOutcome::kNoResponse) {
     // The id is fresh, so reading it tells whether the write took effect.
     uint64_t row_version = 0;
     plan = ReadPlan(plan.m_id, row_version);
@@ -203,7 +203,7 @@
     if (current.m_record.m_version != plan.m_base_version) {
       ThrowStale(plan);
     }
-    VersionRecord next;
+    CurrentConfigRecord next;
     next.m_version = plan.m_base_version + 1;
     next.m_plan = id;
     next.m_confirmed_ms = WallNow().time_since_epoch().count();
--- a/src/daemon/operator_service.h
+++ b/src/daemon/operator_service.h
@@ -7,7 +7,7 @@
 #include "control/plan_builder.h"
 #include "core/event.h"
 #include "daemon/control_loop.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 
 namespace foxtail {
 
@@ -16,7 +16,7 @@
 /// typed errors.
 class OperatorService {
  public:
-  OperatorService(ControlLoop& loop, PlatformStore& store, EventLog& events);
+  OperatorService(ControlLoop& loop, RecordRepository& store, EventLog& events);
 
   /// Makes and stores a plan that replaces the whole configuration.
   PlanRecord ProposeDocument(const Json::Value& document);
@@ -46,7 +46,7 @@
 
  private:
   struct CurrentVersion {
-    VersionRecord m_record;
+    CurrentConfigRecord m_record;
     uint64_t m_row_version = 0;
   };
 
@@ -60,7 +60,7 @@
   [[noreturn]] void ThrowStale(const PlanRecord& plan);
 
   ControlLoop& m_loop;
-  PlatformStore& m_store;
+  RecordRepository& m_store;
   EventLog& m_events;
 };
 
--- a/src/daemon/status_report.cc
+++ b/src/daemon/status_report.cc
@@ -83,7 +83,7 @@
     row["configuration"] = Json::UInt64(dispatcher.m_config_version);
     row["routes"] = Json::UInt64(dispatcher.m_routes_version);
     row["heard_ms_ago"] = Milliseconds(now - dispatcher.m_last_sync);
-    row["leaving"] = dispatcher.m_leaving;
+    row["leaving"] = dispatcher.m_shutting_down;
     dispatchers.append(row);
   });
   return dispatchers;
@@ -117,7 +117,7 @@
 
 Json::Value StatusReport(const ControlTables& tables, TimePoint now) {
   Json::Value report;
-  report["instance"] = tables.m_self.m_instance;
+  report["instance"] = tables.m_self.m_incarnation;
   report["address"] = tables.m_self.m_address;
   report["data_centre"] = tables.m_data_centre;
   report["configuration"] = Json::UInt64(tables.m_config.m_version);
--- a/src/entry/caller_handler.cc
+++ b/src/entry/caller_handler.cc
@@ -250,7 +250,7 @@
   call.m_query.m_partition = PartitionOfKey(routes.m_service, call.m_key);
   const RoutePartition* partition =
       FindPartition(routes, call.m_query.m_partition);
-  if (!partition || partition->m_held) {
+  if (!partition || partition->m_paused) {
     return false;
   }
   call.m_dispatcher = routes.m_servers[partition->m_server].m_dispatcher;
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -82,7 +82,7 @@
 bool EntryControl::Exchange(Link& link) {
   TrafficThread& thread = *m_threads[link.m_thread];
   SyncRequest report = thread.BuildReport(link.m_cell);
-  report.m_leaving = m_leaving;
+  report.m_shutting_down = m_shutting_down;
   const HttpRequest call = ClusterRequest("/sync", m_settings.m_cluster_secret,
                                           EncodeMessage(report));
   const TimePoint sent = Clock::now();
@@ -122,7 +122,7 @@
 }
 
 void EntryControl::Leave() {
-  m_leaving = true;
+  m_shutting_down = true;
   for (const auto& [key, link] : m_links) {
     Kick(key.first, key.second);
   }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -73,7 +73,7 @@
   std::map<std::pair<uint32_t, std::string>, std::unique_ptr<Link>> m_links;
   int m_running = 0;
   uint64_t m_config_version = 0;
-  bool m_leaving = false;
+  bool m_shutting_down = false;
   bool m_stopping = false;
 };
 
--- a/src/entry/forwarding.cc
+++ b/src/entry/forwarding.cc
@@ -145,8 +145,9 @@
   headers.Set(kWorkspaceHeader, query.m_workspace);
   headers.Set(kWeightHeader, std::to_string(query.m_weight));
   headers.Set(kRequestIdHeader, query.m_id.m_text);
-  headers.Set(kIssuedHeader,
-              std::to_string(query.m_id.m_issued.time_since_epoch().count()));
+  headers.Set(
+      kIssuedHeader,
+      std::to_string(query.m_id.m_issued_at.time_since_epoch().count()));
   headers.Set(kRepeatableHeader, query.m_repeatable ? "1" : "0");
   headers.Set(kFreshHeader, query.m_fresh ? "1" : "0");
   headers.Set(kDeadlineHeader,
@@ -161,7 +162,7 @@
   query.m_workspace = request.m_headers.GetOr(kWorkspaceHeader, "");
   query.m_weight = NumberOf<uint32_t>(request, kWeightHeader);
   query.m_id.m_text = request.m_headers.GetOr(kRequestIdHeader, "");
-  query.m_id.m_issued =
+  query.m_id.m_issued_at =
       WallTime(milliseconds(NumberOf<int64_t>(request, kIssuedHeader)));
   query.m_repeatable = NumberOf<int>(request, kRepeatableHeader) != 0;
   query.m_fresh = NumberOf<int>(request, kFreshHeader) != 0;
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 TokenClient::TokenClient(TokenBudget& budget,
-                         DispatcherName self,
+                         DispatcherIdentity self,
                          std::vector<std::string> controls,
                          std::string cluster_secret,
                          Duration wait)
@@ -109,7 +109,7 @@
   m_budget.OnGrants(response, sent);
   double wanted = 0;
   for (const TokenDemand& demand : request.m_demands) {
-    wanted += demand.m_wanted;
+    wanted += demand.m_requested;
   }
   for (const TokenGrant& grant : response.m_grants) {
     wanted -= grant.m_tokens;
--- a/src/entry/token_client.h
+++ b/src/entry/token_client.h
@@ -16,7 +16,7 @@
  public:
   /// `controls` are all control processes; any of them may be the holder.
   TokenClient(TokenBudget& budget,
-              DispatcherName self,
+              DispatcherIdentity self,
               std::vector<std::string> controls,
               std::string cluster_secret,
               Duration wait);
@@ -36,7 +36,7 @@
   void PauseIfAllAsked();
 
   TokenBudget& m_budget;
-  DispatcherName m_self;
+  DispatcherIdentity m_self;
   std::string m_cluster_secret;
   Duration m_wait;
   HttpClient m_client;
--- a/src/entry/traffic_thread.cc
+++ b/src/entry/traffic_thread.cc
@@ -161,7 +161,7 @@
         });
     // What was let go must also be reported, with the memories of it.
     m_system.GetTables().m_cells.ForEach([&](auto, const TrafficCellRow& cell) {
-      held += cell.m_memories.size();
+      held += cell.m_dedup_states.size();
     });
     return held;
   }
@@ -234,7 +234,7 @@
     const bool older = response.m_control_epoch < m_access_epoch ||
                        response.m_config_version < m_access_version;
     if (response.m_status != SyncStatus::kOk || older ||
-        now.m_steady >= sent + response.m_authority_left) {
+        now.m_steady >= sent + response.m_authority_ttl) {
       return;
     }
     if (response.m_access) {
--- a/src/entry/traffic_thread.h
+++ b/src/entry/traffic_thread.h
@@ -57,7 +57,7 @@
   /// requests were answered within `timeout`.
   bool Stop(Duration timeout);
 
-  const DispatcherName& GetName() const { return m_name; }
+  const DispatcherIdentity& GetName() const { return m_name; }
 
  private:
   class Core;
@@ -71,7 +71,7 @@
   uint32_t m_index;
   EventLog& m_events;
   std::function<void(uint32_t, const std::string&)> m_kick;
-  DispatcherName m_name;
+  DispatcherIdentity m_name;
   Mailbox m_mailbox;
   Core* m_core = nullptr;
   std::thread m_thread;
--- a/src/gateway/cluster_codec.cc
+++ b/src/gateway/cluster_codec.cc
@@ -82,7 +82,7 @@
 void serialize(Archive& archive, LeaderDigest& m) {  // NOLINT
   archive(m.m_address, m.m_epoch, m.m_sequence, m.m_report_sent,
           m.m_lead_version, m.m_leaving, m.m_relaying, m.m_servers_contact_age,
-          m.m_changes, m.m_operator_read_age, m.m_tokens.m_lifetime,
+          m.m_changes, m.m_operator_read_age, m.m_tokens.m_token_ttl,
           m.m_tokens.m_grants);
 }
 
--- a/src/gateway/leadership_system.cc
+++ b/src/gateway/leadership_system.cc
@@ -246,9 +246,9 @@
   lead.m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
   // After a mismatch somebody else wrote, or an earlier write of our own came
   // late; after no answer the write may still come. The row tells.
-  lead.m_uncertain = result.m_outcome == StoreOutcome::kMismatch ||
+  lead.m_uncertain = result.m_outcome == StoreOutcome::kVersionMismatch ||
                      result.m_outcome == StoreOutcome::kUnknown;
-  if (result.m_outcome == StoreOutcome::kMismatch) {
+  if (result.m_outcome == StoreOutcome::kVersionMismatch) {
     lead.m_next_operation = now.m_steady;
   }
   if (lead.m_phase == LeadPhase::kTaking && !lead.m_uncertain) {
--- a/src/gateway/member_system.cc
+++ b/src/gateway/member_system.cc
@@ -71,12 +71,12 @@
                           const MemberReport& report,
                           const Now& now) {
   TokenResponse response;
-  response.m_lifetime = tables.m_settings.m_token_life;
+  response.m_token_ttl = tables.m_settings.m_token_life;
   if (!tables.m_routes) {
     return response;
   }
   const double part = HeardPart(tables, now);
-  const DispatcherName member{report.m_address, report.m_incarnation};
+  const DispatcherIdentity member{report.m_address, report.m_incarnation};
   for (const TokenDemand& demand : report.m_demands) {
     const RoutedWorkspace* workspace =
         tables.m_routes->FindWorkspace(demand.m_workspace);
--- a/src/gateway/owners_system.cc
+++ b/src/gateway/owners_system.cc
@@ -173,7 +173,7 @@
     return;
   }
   service->m_dirty = true;
-  service->m_uncertain = result.m_outcome == StoreOutcome::kMismatch ||
+  service->m_uncertain = result.m_outcome == StoreOutcome::kVersionMismatch ||
                          result.m_outcome == StoreOutcome::kUnknown;
   service->m_next_operation = now.m_steady + tables.m_settings.m_store_retry;
 }
--- a/src/messages/codec.cc
+++ b/src/messages/codec.cc
@@ -14,13 +14,14 @@
 // The library finds these by argument-dependent lookup, so they stand in the
 // messages' own namespace.
 template <typename Archive>
-void serialize(Archive& archive, DispatcherName& m) {  // NOLINT
-  archive(m.m_address, m.m_instance);
+void serialize(Archive& archive, DispatcherIdentity& m) {  // NOLINT
+  archive(m.m_address, m.m_incarnation);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, ServerObservation& m) {  // NOLINT
-  archive(m.m_server, m.m_in_flight, m.m_queued, m.m_answered, m.m_lost);
+  archive(m.m_server, m.m_in_flight, m.m_queued, m.m_responses,
+          m.m_connection_failures);
 }
 
 template <typename Archive>
@@ -29,13 +30,13 @@
 }
 
 template <typename Archive>
-void serialize(Archive& archive, SeenRequest& m) {  // NOLINT
-  archive(m.m_hash, m.m_issued);
+void serialize(Archive& archive, AcceptedRequest& m) {  // NOLINT
+  archive(m.m_hash, m.m_issued_at);
 }
 
 template <typename Archive>
-void serialize(Archive& archive, PartitionMemory& m) {  // NOLINT
-  archive(m.m_number, m.m_known_since, m.m_seen);
+void serialize(Archive& archive, PartitionDedupState& m) {  // NOLINT
+  archive(m.m_number, m.m_complete_since, m.m_accepted);
 }
 
 template <typename Archive>
@@ -52,8 +53,9 @@
 void serialize(Archive& archive, SyncRequest& m) {  // NOLINT
   archive(m.m_cell, m.m_dispatcher, m.m_data_centre, m.m_control_epoch,
           m.m_routes_version, m.m_config_version, m.m_applied_number,
-          m.m_held_servers, m.m_draining_servers, m.m_draining, m.m_memories,
-          m.m_observations, m.m_suspects, m.m_loads, m.m_leaving);
+          m.m_leased_servers, m.m_draining_servers, m.m_draining_partitions,
+          m.m_dedup_states, m.m_observations, m.m_suspects, m.m_loads,
+          m.m_shutting_down);
 }
 
 template <typename Archive>
@@ -80,13 +82,13 @@
 
 template <typename Archive>
 void serialize(Archive& archive, RoutePartition& m) {  // NOLINT
-  archive(m.m_number, m.m_server, m.m_epoch, m.m_held);
+  archive(m.m_number, m.m_server, m.m_epoch, m.m_paused);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, CellRoutes& m) {  // NOLINT
   archive(m.m_control_epoch, m.m_version, m.m_service, m.m_servers,
-          m.m_partitions, m.m_suspects, m.m_condemned);
+          m.m_partitions, m.m_suspects, m.m_quarantined);
 }
 
 template <typename Archive>
@@ -126,8 +128,8 @@
 template <typename Archive>
 void serialize(Archive& archive, SyncResponse& m) {  // NOLINT
   archive(m.m_status, m.m_controller, m.m_control_epoch, m.m_config_version,
-          m.m_number, m.m_authority_left, m.m_held_for, m.m_lease,
-          m.m_leased_servers, m.m_memories);
+          m.m_number, m.m_authority_ttl, m.m_pending_for, m.m_lease_ttl,
+          m.m_leased_servers, m.m_dedup_states);
   SerializeOptional(archive, m.m_routes);
   SerializeOptional(archive, m.m_access);
 }
@@ -139,7 +141,7 @@
 
 template <typename Archive>
 void serialize(Archive& archive, TokenResponse& m) {  // NOLINT
-  archive(m.m_status, m.m_controller, m.m_lifetime, m.m_grants);
+  archive(m.m_status, m.m_controller, m.m_token_ttl, m.m_grants);
 }
 
 namespace {
--- a/src/messages/sync_messages.h
+++ b/src/messages/sync_messages.h
@@ -12,11 +12,11 @@
 
 /// One traffic thread of an entry, as a dispatcher: its internal address and
 /// the id of this run of it.
-struct DispatcherName {
+struct DispatcherIdentity {
   std::string m_address;
-  std::string m_instance;
+  std::string m_incarnation;
 
-  auto operator<=>(const DispatcherName&) const = default;
+  auto operator<=>(const DispatcherIdentity&) const = default;
 };
 
 /// What a dispatcher saw of one backend server since its last report.
@@ -24,10 +24,10 @@
   std::string m_server;
   uint32_t m_in_flight = 0;
   uint32_t m_queued = 0;
-  uint64_t m_answered = 0;
+  uint64_t m_responses = 0;
 
   /// Connections that broke or could not be made.
-  uint32_t m_lost = 0;
+  uint32_t m_connection_failures = 0;
 };
 
 /// A partition that a dispatcher no longer sends to, but whose requests are
@@ -38,20 +38,20 @@
 };
 
 /// A request that may not be repeated, as the dispatcher remembers it.
-struct SeenRequest {
+struct AcceptedRequest {
   uint64_t m_hash = 0;
 
   /// Unix time in the request id.
-  std::chrono::milliseconds m_issued{0};
+  std::chrono::milliseconds m_issued_at{0};
 };
 
 /// What a dispatcher remembers of a partition that it let go cleanly.
-struct PartitionMemory {
+struct PartitionDedupState {
   PartitionNumber m_number = 0;
 
   /// Unix time since which every request id was seen.
-  std::chrono::milliseconds m_known_since{0};
-  std::vector<SeenRequest> m_seen;
+  std::chrono::milliseconds m_complete_since{0};
+  std::vector<AcceptedRequest> m_accepted;
 };
 
 /// A request fingerprint that was in flight when a backend server crashed.
@@ -78,7 +78,7 @@
 /// hold time is over.
 struct SyncRequest {
   std::string m_cell;
-  DispatcherName m_dispatcher;
+  DispatcherIdentity m_dispatcher;
   std::string m_data_centre;
 
   /// Newest routes the dispatcher acts on.
@@ -90,18 +90,18 @@
   uint64_t m_applied_number = 0;
 
   /// Backend servers whose dispatch lease was unexpired when this was sent.
-  std::vector<std::string> m_held_servers;
+  std::vector<std::string> m_leased_servers;
 
   /// Backend servers without a lease that still have requests in flight.
   std::vector<std::string> m_draining_servers;
-  std::vector<DrainingPartition> m_draining;
-  std::vector<PartitionMemory> m_memories;
+  std::vector<DrainingPartition> m_draining_partitions;
+  std::vector<PartitionDedupState> m_dedup_states;
   std::vector<ServerObservation> m_observations;
   std::vector<CrashSuspect> m_suspects;
   std::vector<PartitionLoad> m_loads;
 
   /// Set on a planned stop: the dispatcher wants no leases any more.
-  bool m_leaving = false;
+  bool m_shutting_down = false;
 };
 
 /// A backend server in the routes of a cell.
@@ -124,7 +124,7 @@
   uint64_t m_epoch = 0;
 
   /// While set, requests wait: the partition is being moved.
-  bool m_held = false;
+  bool m_paused = false;
 };
 
 /// Everything an entry needs to route the requests of one service.
@@ -139,7 +139,7 @@
   /// Sorted by number.
   std::vector<RoutePartition> m_partitions;
   std::vector<CrashSuspect> m_suspects;
-  std::vector<uint64_t> m_condemned;
+  std::vector<uint64_t> m_quarantined;
 };
 
 /// Everything an entry needs to admit the requests of all workspaces.
@@ -171,14 +171,14 @@
   uint64_t m_number = 0;
 
   /// Validity of this answer, counted from when the request was sent.
-  std::chrono::milliseconds m_authority_left{0};
+  std::chrono::milliseconds m_authority_ttl{0};
 
   /// How long the controller held the request before it answered.
-  std::chrono::milliseconds m_held_for{0};
+  std::chrono::milliseconds m_pending_for{0};
 
   /// Length of the dispatch leases, counted from when the answer was made,
-  /// which is no earlier than the sending of the request plus `m_held_for`.
-  std::chrono::milliseconds m_lease{0};
+  /// which is no earlier than the sending of the request plus `m_pending_for`.
+  std::chrono::milliseconds m_lease_ttl{0};
 
   /// Set when the dispatcher's routes were older.
   std::shared_ptr<const CellRoutes> m_routes;
@@ -190,7 +190,7 @@
   std::vector<std::string> m_leased_servers;
 
   /// Memories handed over with partitions that moved to this dispatcher.
-  std::vector<PartitionMemory> m_memories;
+  std::vector<PartitionDedupState> m_dedup_states;
 };
 
 /// Demand of one workspace at one dispatcher.
@@ -205,13 +205,13 @@
 
   /// Tokens asked for, and how many of them requests wait for. Those are used
   /// as soon as they arrive and never reported.
-  double m_wanted = 0;
+  double m_requested = 0;
   double m_waiting = 0;
 };
 
 /// Entry to controller of the access cell.
 struct TokenRequest {
-  DispatcherName m_dispatcher;
+  DispatcherIdentity m_dispatcher;
   std::vector<TokenDemand> m_demands;
 };
 
@@ -230,7 +230,7 @@
   std::string m_controller;
 
   /// Life of the tokens, counted from when the request was sent.
-  std::chrono::milliseconds m_lifetime{0};
+  std::chrono::milliseconds m_token_ttl{0};
   std::vector<TokenGrant> m_grants;
 };
 
--- a/src/messages/token_archive.h
+++ b/src/messages/token_archive.h
@@ -9,7 +9,7 @@
 
 template <typename Archive>
 void serialize(Archive& archive, TokenDemand& m) {  // NOLINT
-  archive(m.m_workspace, m.m_spent, m.m_returned, m.m_wanted, m.m_waiting);
+  archive(m.m_workspace, m.m_spent, m.m_returned, m.m_requested, m.m_waiting);
 }
 
 template <typename Archive>
--- a/src/standins/backend_standin.cc
+++ b/src/standins/backend_standin.cc
@@ -67,7 +67,7 @@
 
 BackendStandin::BackendStandin(const BackendStandinSettings& settings)
     : m_settings(settings),
-      m_instance(RandomToken()),
+      m_incarnation(RandomToken()),
       m_cold_until(settings.m_cold_requests) {
   if (!settings.m_record_file.empty()) {
     m_record.open(settings.m_record_file, std::ios::app);
@@ -85,7 +85,7 @@
   } else {
     response = RunRequest(request);
   }
-  response.m_headers.Set("x-server-instance", m_instance);
+  response.m_headers.Set("x-server-instance", m_incarnation);
   return response;
 }
 
@@ -244,7 +244,7 @@
   }
   Json::Value line;
   line["server"] = m_settings.m_name;
-  line["instance"] = m_instance;
+  line["instance"] = m_incarnation;
   line["what"] = what;
   line["time_us"] =
       Json::Int64(std::chrono::duration_cast<std::chrono::microseconds>(
--- a/src/standins/backend_standin.h
+++ b/src/standins/backend_standin.h
@@ -82,7 +82,7 @@
   Json::Value State() const;
 
   BackendStandinSettings m_settings;
-  std::string m_instance;
+  std::string m_incarnation;
   Grant m_grant;
   FiberEvent m_slot_free;
   uint32_t m_running = 0;
--- a/src/store/record_json.cc
+++ b/src/store/record_json.cc
@@ -6,14 +6,14 @@
 namespace foxtail {
 namespace {
 
-Json::Value Encode(const ControlInstance& instance) {
+Json::Value Encode(const ControlProcess& instance) {
   Json::Value value;
-  value["instance"] = instance.m_instance;
+  value["instance"] = instance.m_incarnation;
   value["address"] = instance.m_address;
   return value;
 }
 
-ControlInstance DecodeInstance(const Json::Value& value) {
+ControlProcess DecodeInstance(const Json::Value& value) {
   return {value["instance"].asString(), value["address"].asString()};
 }
 
@@ -28,7 +28,7 @@
     value["renewals"] = Json::UInt64(record.m_renewals);
     value["released"] = record.m_released;
     value["standbys"] = Json::Value(Json::arrayValue);
-    for (const ControlInstance& standby : record.m_standbys) {
+    for (const ControlProcess& standby : record.m_standbys) {
       value["standbys"].append(Encode(standby));
     }
     return value;
@@ -51,7 +51,7 @@
     return value;
   }
 
-  Json::Value operator()(const VersionRecord& record) const {
+  Json::Value operator()(const CurrentConfigRecord& record) const {
     Json::Value value;
     value["kind"] = "version";
     value["version"] = Json::UInt64(record.m_version);
@@ -112,8 +112,9 @@
 }
 
 RecordValue DecodeVersion(const Json::Value& value) {
-  return VersionRecord{value["version"].asUInt64(), value["plan"].asString(),
-                       value["confirmed_ms"].asInt64()};
+  return CurrentConfigRecord{value["version"].asUInt64(),
+                             value["plan"].asString(),
+                             value["confirmed_ms"].asInt64()};
 }
 
 RecordValue DecodePlan(const Json::Value& value) {
--- a/src/store/platform_store.h
+++ b/src/store/record_repository.h
@@ -20,22 +20,22 @@
 enum class RowOutcome {
   kDone,
   /// The row is missing (read) or has another version (write).
-  kMismatch,
+  kVersionMismatch,
   /// No answer: a write may or may not have taken effect.
-  kNoAnswer,
+  kNoResponse,
 };
 
 /// Result of a read or write. `m_version` is 0 for a missing row.
 struct RowResult {
-  RowOutcome m_outcome = RowOutcome::kNoAnswer;
+  RowOutcome m_outcome = RowOutcome::kNoResponse;
   uint64_t m_version = 0;
   RecordValue m_value;
 };
 
 /// The platform's transactional table service, as the project uses it.
-class PlatformStore {
+class RecordRepository {
  public:
-  virtual ~PlatformStore() = default;
+  virtual ~RecordRepository() = default;
 
   /// Reads a row.
   virtual RowResult Read(const RowKey& key) = 0;
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -11,16 +11,16 @@
 
 /// A control process: its JSON-RPC address and the id of this run of it. A
 /// restarted process is another instance.
-struct ControlInstance {
-  std::string m_instance;
+struct ControlProcess {
+  std::string m_incarnation;
   std::string m_address;
 
-  auto operator<=>(const ControlInstance&) const = default;
+  auto operator<=>(const ControlProcess&) const = default;
 };
 
 /// Row lease/CELL: who controls a cell.
 struct LeaseRecord {
-  ControlInstance m_holder;
+  ControlProcess m_holder;
 
   /// Grows by one with each takeover.
   uint64_t m_epoch = 0;
@@ -29,7 +29,7 @@
   uint64_t m_renewals = 0;
 
   /// Processes that may take over once the lease has lapsed.
-  std::vector<ControlInstance> m_standbys;
+  std::vector<ControlProcess> m_standbys;
 
   /// Set on a planned stop: anyone may take over at once.
   bool m_released = false;
@@ -67,7 +67,7 @@
 };
 
 /// Row config/current: which configuration is in force.
-struct VersionRecord {
+struct CurrentConfigRecord {
   uint64_t m_version = 0;
 
   /// Plan that was confirmed as this version.
@@ -76,7 +76,7 @@
   /// Wall time of the confirmation, Unix milliseconds.
   int64_t m_confirmed_ms = 0;
 
-  bool operator==(const VersionRecord&) const = default;
+  bool operator==(const CurrentConfigRecord&) const = default;
 };
 
 /// State of a plan.
@@ -115,7 +115,7 @@
 using RecordValue = std::variant<std::monostate,
                                  LeaseRecord,
                                  AssignmentRecord,
-                                 VersionRecord,
+                                 CurrentConfigRecord,
                                  PlanRecord>;
 
 }  // namespace foxtail
--- a/src/store/record_store.cc
+++ b/src/store/table_record_repository.cc
@@ -1,4 +1,4 @@
-#include "store/record_store.h"
+#include "store/table_record_repository.h"
 
 #include <json/json.h>
 
@@ -8,17 +8,18 @@
 
 namespace foxtail {
 
-RecordStore::RecordStore(TableStore& store, Duration timeout)
+TableRecordRepository::TableRecordRepository(TableStore& store,
+                                             Duration timeout)
     : m_store(store), m_timeout(timeout) {}
 
-RowResult RecordStore::Read(const RowKey& key) {
+RowResult TableRecordRepository::Read(const RowKey& key) {
   RowResult result;
   const RowsResult rows = m_store.Read(key.m_table, key.m_key, m_timeout);
   if (rows.m_outcome != StoreOutcome::kDone) {
     return result;
   }
   if (rows.m_rows.empty()) {
-    result.m_outcome = RowOutcome::kMismatch;
+    result.m_outcome = RowOutcome::kVersionMismatch;
     return result;
   }
   const StoredRow& row = rows.m_rows.front();
@@ -34,9 +35,9 @@
   return result;
 }
 
-RowResult RecordStore::Write(const RowKey& key,
-                             uint64_t if_version,
-                             const RecordValue& value) {
+RowResult TableRecordRepository::Write(const RowKey& key,
+                                       uint64_t if_version,
+                                       const RecordValue& value) {
   const WriteResult written = m_store.Write(
       {key.m_table, key.m_key, if_version, JsonText(RecordToJson(value))},
       m_timeout);
@@ -44,13 +45,13 @@
   result.m_version = written.m_version;
   if (written.m_outcome == StoreOutcome::kDone) {
     result.m_outcome = RowOutcome::kDone;
-  } else if (written.m_outcome == StoreOutcome::kMismatch) {
-    result.m_outcome = RowOutcome::kMismatch;
+  } else if (written.m_outcome == StoreOutcome::kVersionMismatch) {
+    result.m_outcome = RowOutcome::kVersionMismatch;
   }
   return result;
 }
 
-std::vector<std::string> RecordStore::List(const std::string& table) {
+std::vector<std::string> TableRecordRepository::List(const std::string& table) {
   const RowsResult rows = m_store.Read(table, "", m_timeout);
   if (rows.m_outcome != StoreOutcome::kDone) {
     throw Error(ErrorCode::kPlatformUnavailable, table);
--- a/src/store/record_store.h
+++ b/src/store/table_record_repository.h
@@ -1,16 +1,16 @@
 #pragma once
 
 #include "core/time.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 #include "store/table_store.h"
 
 namespace foxtail {
 
 /// Keeps the control daemons' typed records in the table store, as JSON.
-class RecordStore : public PlatformStore {
+class TableRecordRepository : public RecordRepository {
  public:
   /// `timeout` bounds each call; a later answer is dropped.
-  RecordStore(TableStore& store, Duration timeout);
+  TableRecordRepository(TableStore& store, Duration timeout);
 
   RowResult Read(const RowKey& key) override;
   RowResult Write(const RowKey& key,
--- a/src/store/table_store.cc
+++ b/src/store/table_store.cc
@@ -6,9 +6,9 @@
   switch (outcome) {
     case StoreOutcome::kDone:
       return "done";
-    case StoreOutcome::kMismatch:
+    case StoreOutcome::kVersionMismatch:
       return "mismatch";
-    case StoreOutcome::kBusy:
+    case StoreOutcome::kRateLimited:
       return "busy";
     case StoreOutcome::kUnavailable:
       return "unavailable";
--- a/src/store/table_store.h
+++ b/src/store/table_store.h
@@ -13,9 +13,9 @@
 enum class StoreOutcome {
   kDone,
   /// A row had another version than the call required; nothing was written.
-  kMismatch,
+  kVersionMismatch,
   /// The store refused the call for its rate; nothing was done.
-  kBusy,
+  kRateLimited,
   /// The store could not be reached or refused; nothing was done.
   kUnavailable,
   /// No answer: a write may take effect, even seconds later.
--- a/src/traffic/concurrency_limit.cc
+++ b/src/traffic/concurrency_limit.cc
@@ -47,8 +47,8 @@
 }
 
 void RampLimit::OnAnswer(const std::string& instance, Duration latency) {
-  if (m_instance != instance) {
-    m_instance = instance;
+  if (m_incarnation != instance) {
+    m_incarnation = instance;
     BecomeCold();
   }
   const double ratio =
--- a/src/traffic/concurrency_limit.h
+++ b/src/traffic/concurrency_limit.h
@@ -81,7 +81,7 @@
   bool IsOver(Duration latency, double ratio) const;
 
   RampSettings m_settings;
-  std::string m_instance;
+  std::string m_incarnation;
   uint32_t m_allowed = 1;
   uint32_t m_answers = 0;
   uint32_t m_slow = 0;
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -36,7 +36,7 @@
     return nullptr;
   }
   const RoutePartition* partition = FindPartition(*cell.m_routes, number);
-  if (!partition || partition->m_held ||
+  if (!partition || partition->m_paused ||
       cell.m_routes->m_servers[partition->m_server].m_name != server) {
     return nullptr;
   }
@@ -49,7 +49,7 @@
     return {};
   }
   const RoutePartition* partition = FindPartition(*cell.m_routes, number);
-  if (!partition || partition->m_held) {
+  if (!partition || partition->m_paused) {
     return {};
   }
   const auto found =
@@ -62,7 +62,7 @@
                            TimePoint sent,
                            const Now& now) {
   if (response.m_status != SyncStatus::kOk ||
-      now.m_steady >= sent + response.m_authority_left) {
+      now.m_steady >= sent + response.m_authority_ttl) {
     return false;
   }
   TrafficCellId id = FindCell(m_tables, name);
@@ -95,7 +95,7 @@
 // Once a lease has lapsed another dispatcher may have accepted requests, so the
 // ids known here are no longer all ids.
 void DispatchSystem::DropLapsedIds(TrafficCellRow& cell, TimePoint now) {
-  std::erase_if(cell.m_seen, [&](const auto& entry) {
+  std::erase_if(cell.m_accepted, [&](const auto& entry) {
     return now >= m_tables.m_servers.Get(entry.second.m_server).m_lease_until;
   });
 }
@@ -107,8 +107,8 @@
   for (const CrashSuspect& suspect : response.m_routes->m_suspects) {
     cell.m_suspects.emplace(suspect.m_fingerprint, suspect);
   }
-  cell.m_condemned = {response.m_routes->m_condemned.begin(),
-                      response.m_routes->m_condemned.end()};
+  cell.m_quarantined = {response.m_routes->m_quarantined.begin(),
+                        response.m_routes->m_quarantined.end()};
 }
 
 void DispatchSystem::ApplyLeases(TrafficCellId id,
@@ -133,8 +133,9 @@
       server_id = m_tables.m_servers.Insert(std::move(row));
     }
     DispatchServerRow& server = m_tables.m_servers.Get(server_id);
-    server.m_lease_until = std::max(
-        server.m_lease_until, sent + response.m_held_for + response.m_lease);
+    server.m_lease_until =
+        std::max(server.m_lease_until,
+                 sent + response.m_pending_for + response.m_lease_ttl);
   }
 }
 
@@ -151,29 +152,29 @@
       in_hand.emplace(partition.m_number, server);
     }
   }
-  for (auto it = cell.m_seen.begin(); it != cell.m_seen.end();) {
+  for (auto it = cell.m_accepted.begin(); it != cell.m_accepted.end();) {
     const auto found = in_hand.find(it->first);
     if (found != in_hand.end() && found->second == it->second.m_server) {
       ++it;
     } else {
-      cell.m_memories[it->first] = it->second.m_registry.Export(it->first);
-      it = cell.m_seen.erase(it);
+      cell.m_dedup_states[it->first] = it->second.m_registry.Export(it->first);
+      it = cell.m_accepted.erase(it);
     }
   }
   const WallTime unknown_before =
       now.m_wall + m_settings.m_id_ahead + m_settings.m_wall_skew;
   for (const auto& [number, server] : in_hand) {
-    if (cell.m_seen.contains(number)) {
+    if (cell.m_accepted.contains(number)) {
       continue;
     }
     SeenRegistry registry(unknown_before, m_settings.m_retention);
-    for (const PartitionMemory& memory : response.m_memories) {
+    for (const PartitionDedupState& memory : response.m_dedup_states) {
       if (memory.m_number == number) {
         registry.Import(memory);
       }
     }
-    cell.m_memories.erase(number);
-    cell.m_seen.emplace(number, PartitionIds{server, std::move(registry)});
+    cell.m_dedup_states.erase(number);
+    cell.m_accepted.emplace(number, PartitionIds{server, std::move(registry)});
   }
 }
 
@@ -201,14 +202,14 @@
     DispatchServerRow& server = m_tables.m_servers.Get(id);
     const bool held = now.m_steady < server.m_lease_until;
     if (held) {
-      request.m_held_servers.push_back(server_name);
+      request.m_leased_servers.push_back(server_name);
     }
     request.m_observations.push_back(
         {server_name, server.m_running,
-         static_cast<uint32_t>(server.m_queue->size()), server.m_answered,
-         server.m_lost});
-    server.m_answered = 0;
-    server.m_lost = 0;
+         static_cast<uint32_t>(server.m_queue->size()), server.m_responses,
+         server.m_connection_failures});
+    server.m_responses = 0;
+    server.m_connection_failures = 0;
   }
   std::set<std::string> draining_servers;
   std::set<PartitionNumber> draining;
@@ -219,7 +220,7 @@
     }
     if (IsDraining(row)) {
       draining.insert(row.m_partition);
-      request.m_draining.push_back({row.m_partition, row.m_epoch});
+      request.m_draining_partitions.push_back({row.m_partition, row.m_epoch});
     }
     if (now.m_steady >= server.m_lease_until) {
       draining_servers.insert(server.m_name);
@@ -228,9 +229,9 @@
   request.m_draining_servers = {draining_servers.begin(),
                                 draining_servers.end()};
   // A memory is complete once it is known of each request whether it ran.
-  for (const auto& [number, memory] : cell->m_memories) {
+  for (const auto& [number, memory] : cell->m_dedup_states) {
     if (!draining.contains(number)) {
-      request.m_memories.push_back(memory);
+      request.m_dedup_states.push_back(memory);
     }
   }
   request.m_suspects = std::move(cell->m_new_suspects);
@@ -242,8 +243,8 @@
 void DispatchSystem::OnReportAnswered(const SyncRequest& request) {
   if (TrafficCellRow* cell =
           m_tables.m_cells.Find(FindCell(m_tables, request.m_cell))) {
-    for (const PartitionMemory& memory : request.m_memories) {
-      cell->m_memories.erase(memory.m_number);
+    for (const PartitionDedupState& memory : request.m_dedup_states) {
+      cell->m_dedup_states.erase(memory.m_number);
     }
   }
 }
@@ -269,7 +270,7 @@
   if (!id.IsValid() || !MaySend(query, id, now.m_steady)) {
     throw Error(ErrorCode::kNotDispatcher, query.m_cell);
   }
-  if (cell->m_condemned.contains(query.m_fingerprint)) {
+  if (cell->m_quarantined.contains(query.m_fingerprint)) {
     throw Error(ErrorCode::kRequestQuarantined);
   }
   DispatchServerRow& server = m_tables.m_servers.Get(id);
@@ -283,7 +284,7 @@
     throw Error(ErrorCode::kServerQueueFull, server.m_name);
   }
   if (!query.m_repeatable) {
-    cell->m_seen.at(query.m_partition)
+    cell->m_accepted.at(query.m_partition)
         .m_registry.Accept(query.m_id, query.m_fresh, now.m_wall);
   }
   ++cell->m_loads[query.m_partition];
@@ -307,13 +308,13 @@
   }
   TrafficCellRow* cell =
       m_tables.m_cells.Find(FindCell(m_tables, query.m_cell));
-  const auto registry = cell->m_seen.find(query.m_partition);
-  if (registry != cell->m_seen.end()) {
+  const auto registry = cell->m_accepted.find(query.m_partition);
+  if (registry != cell->m_accepted.end()) {
     registry->second.m_registry.Forget(query.m_id);
   }
-  const auto memory = cell->m_memories.find(query.m_partition);
-  if (memory != cell->m_memories.end()) {
-    std::erase_if(memory->second.m_seen, [&](const SeenRequest& seen) {
+  const auto memory = cell->m_dedup_states.find(query.m_partition);
+  if (memory != cell->m_dedup_states.end()) {
+    std::erase_if(memory->second.m_accepted, [&](const AcceptedRequest& seen) {
       return seen.m_hash == SeenRegistry::HashOf(query.m_id);
     });
   }
@@ -408,7 +409,7 @@
   GiveSlot(server_id);
   switch (outcome) {
     case SendOutcome::kAnswered:
-      ++server.m_answered;
+      ++server.m_responses;
       server.m_limit->OnAnswer(server_instance, latency);
       if (solo) {
         NoteCleared(row);
@@ -420,12 +421,12 @@
       break;
     case SendOutcome::kNotSent:
       server.m_limit->OnConnectionLost();
-      ++server.m_lost;
+      ++server.m_connection_failures;
       Abandon(query, server_id, 0);
       break;
     case SendOutcome::kLost:
       server.m_limit->OnConnectionLost();
-      ++server.m_lost;
+      ++server.m_connection_failures;
       NoteCrash(row, solo);
       break;
     case SendOutcome::kTimedOut:
@@ -491,7 +492,7 @@
     }
   });
   m_tables.m_cells.ForEach([&](auto, TrafficCellRow& cell) {
-    for (auto& [number, ids] : cell.m_seen) {
+    for (auto& [number, ids] : cell.m_accepted) {
       ids.m_registry.Expire(now.m_wall);
     }
   });
--- a/src/traffic/request_id.h
+++ b/src/traffic/request_id.h
@@ -12,7 +12,7 @@
 /// tell whether it must know an earlier request with the same id.
 struct RequestId {
   std::string m_text;
-  WallTime m_issued;
+  WallTime m_issued_at;
 };
 
 /// Reads an id. Throws `Error(kRequestIdMalformed)` when it has another form or
--- a/src/traffic/seen_registry.h
+++ b/src/traffic/seen_registry.h
@@ -29,20 +29,20 @@
   void Expire(WallTime now);
 
   /// Returns the content to hand over.
-  PartitionMemory Export(PartitionNumber number) const;
+  PartitionDedupState Export(PartitionNumber number) const;
 
   /// Takes in what another dispatcher handed over.
-  void Import(const PartitionMemory& memory);
+  void Import(const PartitionDedupState& memory);
 
   /// Hash by which an id is kept.
   static uint64_t HashOf(const RequestId& id);
 
-  size_t size() const { return m_issued.size(); }
+  size_t size() const { return m_issued_at.size(); }
 
  private:
-  WallTime m_known_since;
+  WallTime m_complete_since;
   Duration m_retention;
-  std::unordered_map<uint64_t, WallTime> m_issued;
+  std::unordered_map<uint64_t, WallTime> m_issued_at;
 };
 
 }  // namespace foxtail
--- a/src/traffic/token_budget.cc
+++ b/src/traffic/token_budget.cc
@@ -152,13 +152,13 @@
     if (surplus > 0) {
       demand.m_returned = TakeBack(row, std::floor(surplus));
     } else {
-      demand.m_wanted = -surplus;
+      demand.m_requested = -surplus;
       demand.m_waiting =
-          std::min(demand.m_wanted, static_cast<double>(row.m_waiting));
+          std::min(demand.m_requested, static_cast<double>(row.m_waiting));
     }
     row.m_spent = 0;
-    row.m_asked = demand.m_wanted;
-    if (demand.m_spent > 0 || demand.m_returned > 0 || demand.m_wanted > 0) {
+    row.m_asked = demand.m_requested;
+    if (demand.m_spent > 0 || demand.m_returned > 0 || demand.m_requested > 0) {
       demands.push_back(std::move(demand));
     }
   });
@@ -168,7 +168,7 @@
 void TokenBudget::OnGrants(const TokenResponse& response, TimePoint sent) {
   for (const TokenGrant& grant : response.m_grants) {
     BudgetRow& row = RowOf(grant.m_workspace);
-    const TimePoint until = sent + response.m_lifetime;
+    const TimePoint until = sent + response.m_token_ttl;
     const double stock = grant.m_tokens - grant.m_for_waiting;
     if (grant.m_for_waiting > 0) {
       row.m_shares.push_back({grant.m_for_waiting, until, true});
--- a/src/traffic/token_holder.cc
+++ b/src/traffic/token_holder.cc
@@ -24,7 +24,7 @@
   OutstandingSum sum;
   for (const auto& out : row.m_outstanding) {
     sum.m_all += out.m_tokens;
-    sum.m_own += out.m_dispatcher == DispatcherName() ? 0 : out.m_tokens;
+    sum.m_own += out.m_dispatcher == DispatcherIdentity() ? 0 : out.m_tokens;
   }
   return sum;
 }
@@ -46,7 +46,9 @@
 }
 
 // Takes tokens of a dispatcher off what is out; returns how many there were.
-double Settle(TokenRow& row, const DispatcherName& dispatcher, double tokens) {
+double Settle(TokenRow& row,
+              const DispatcherIdentity& dispatcher,
+              double tokens) {
   double settled = 0;
   for (auto& out : row.m_outstanding) {
     if (out.m_dispatcher == dispatcher) {
@@ -73,17 +75,17 @@
   const auto [row, added] = m_rows.try_emplace(limit.m_workspace);
   if (added) {
     row->second.m_updated = m_began;
-    const TimePoint until = m_began + m_lifetime;
+    const TimePoint until = m_began + m_token_ttl;
     if (now < until) {
       row->second.m_outstanding.push_back(
-          {DispatcherName(), OutstandingLimit(limit), until});
+          {DispatcherIdentity(), OutstandingLimit(limit), until});
     }
   }
   return row->second;
 }
 
 TokenGrant TokenHolder::Serve(const TokenLimit& limit,
-                              const DispatcherName& dispatcher,
+                              const DispatcherIdentity& dispatcher,
                               const TokenDemand& demand,
                               TimePoint now) {
   TokenRow& row = RowOf(limit, now);
@@ -100,11 +102,12 @@
   const double room =
       std::max(0.0, OutstandingLimit(limit) - outstanding.m_own);
   const double stock = std::floor(
-      std::max(0.0, std::min({demand.m_wanted - waiting, row.m_level, room})) +
+      std::max(0.0,
+               std::min({demand.m_requested - waiting, row.m_level, room})) +
       kRoundingError);
   if (stock > 0) {
     row.m_level -= stock;
-    row.m_outstanding.push_back({dispatcher, stock, now + m_lifetime});
+    row.m_outstanding.push_back({dispatcher, stock, now + m_token_ttl});
   }
   TokenGrant grant;
   grant.m_workspace = limit.m_workspace;
--- a/src/traffic/token_holder.h
+++ b/src/traffic/token_holder.h
@@ -25,7 +25,7 @@
 
   /// Tokens handed out that may still be used, until when each.
   struct Outstanding {
-    DispatcherName m_dispatcher;
+    DispatcherIdentity m_dispatcher;
     double m_tokens = 0;
     TimePoint m_until;
   };
@@ -37,21 +37,21 @@
 class TokenHolder {
  public:
   /// `lifetime` is how long a token counts as out, clock drift included.
-  explicit TokenHolder(Duration lifetime) : m_lifetime(lifetime) {}
+  explicit TokenHolder(Duration lifetime) : m_token_ttl(lifetime) {}
 
   /// Begins as a new holder, which does not know what was handed out before.
   void Begin(TimePoint now);
 
   /// Answers a dispatcher's demand.
   TokenGrant Serve(const TokenLimit& limit,
-                   const DispatcherName& dispatcher,
+                   const DispatcherIdentity& dispatcher,
                    const TokenDemand& demand,
                    TimePoint now);
 
  private:
   TokenRow& RowOf(const TokenLimit& limit, TimePoint now);
 
-  Duration m_lifetime;
+  Duration m_token_ttl;
   TimePoint m_began;
   std::map<std::string, TokenRow> m_rows;
 };
--- a/src/traffic/traffic_tables.h
+++ b/src/traffic/traffic_tables.h
@@ -59,8 +59,8 @@
   bool m_exclusive = false;
 
   /// Since the last report to the controller.
-  uint64_t m_answered = 0;
-  uint32_t m_lost = 0;
+  uint64_t m_responses = 0;
+  uint32_t m_connection_failures = 0;
 };
 
 /// Request ids of a partition in hand, and the server it is in hand for.
@@ -81,12 +81,12 @@
   std::map<std::string, DispatchServerId> m_servers;
 
   /// Ids of requests that may not be repeated, per partition in hand.
-  std::map<PartitionNumber, PartitionIds> m_seen;
+  std::map<PartitionNumber, PartitionIds> m_accepted;
 
   /// Memories of partitions let go, until a report with them was answered.
-  std::map<PartitionNumber, PartitionMemory> m_memories;
+  std::map<PartitionNumber, PartitionDedupState> m_dedup_states;
   std::map<uint64_t, CrashSuspect> m_suspects;
-  std::unordered_set<uint64_t> m_condemned;
+  std::unordered_set<uint64_t> m_quarantined;
 
   /// Crash reports since the last sync request.
   std::vector<CrashSuspect> m_new_suspects;
--- a/tests/integration/gateway_test.cc
+++ b/tests/integration/gateway_test.cc
@@ -2,7 +2,7 @@
 
 #include <boost/fiber/operations.hpp>
 
-#include "platform/row_store.h"
+#include "platform/platform_table_store.h"
 #include "runtime/http_client.h"
 #include "runtime/http_server.h"
 #include "support/cluster.h"
@@ -112,7 +112,7 @@
   Process m_platform;
   Process m_gateway;
   HttpServer m_backend;
-  RowStore m_store;
+  PlatformTableStore m_store;
   HttpClient m_client;
   std::vector<HttpRequest> m_served;
 };
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -6,8 +6,8 @@
 #include "core/error.h"
 #include "gateway/cluster_codec.h"
 #include "platform/base64.h"
-#include "platform/operator_rows.h"
-#include "platform/platform_front.h"
+#include "platform/operator_rows_decoder.h"
+#include "platform/platform_front_end.h"
 
 namespace foxtail {
 namespace {
@@ -36,8 +36,9 @@
   return ErrorCode::kInternal;
 }
 
-TEST(OperatorRowsTest, AConfigurationIsDecodedOnce) {
-  const RoutingConfig config = OperatorRows().DecodeConfiguration(kConfig);
+TEST(OperatorRowsDecoderTest, AConfigurationIsDecodedOnce) {
+  const RoutingConfig config =
+      OperatorRowsDecoder().DecodeConfiguration(kConfig);
   EXPECT_EQ(config.m_version, 12U);
   ASSERT_EQ(config.m_routes.size(), 1U);
   EXPECT_FALSE(config.m_routes[0].m_idempotent);
@@ -48,7 +49,7 @@
   EXPECT_EQ(config.m_limits.m_idle_timeout, std::chrono::seconds(15));
 }
 
-TEST(OperatorRowsTest, WrongConfigurationsAreRefused) {
+TEST(OperatorRowsDecoderTest, WrongConfigurationsAreRefused) {
   const std::string good = kConfig;
   for (const auto& [from, to] :
        std::vector<std::pair<std::string, std::string>>{
@@ -63,14 +64,15 @@
            {"{\"version\"", "\"version\""}}) {
     std::string bad = good;
     bad.replace(bad.find(from), from.size(), to);
-    EXPECT_EQ(CodeOf([&] { OperatorRows().DecodeConfiguration(bad); }),
+    EXPECT_EQ(CodeOf([&] { OperatorRowsDecoder().DecodeConfiguration(bad); }),
               ErrorCode::kIntentInvalid)
         << to;
   }
 }
 
-TEST(OperatorRowsTest, AServerIsDecodedAndWrongOnesNameNone) {
-  const BackendServerEntry server = OperatorRows().DecodeServer("i-1", kServer);
+TEST(OperatorRowsDecoderTest, AServerIsDecodedAndWrongOnesNameNone) {
+  const BackendServerEntry server =
+      OperatorRowsDecoder().DecodeServer("i-1", kServer);
   EXPECT_TRUE(server.m_draining);
   EXPECT_EQ(server.m_incarnation, 17);
   EXPECT_EQ(server.m_cold_left, milliseconds(1500));
@@ -84,7 +86,7 @@
            {"\"slots\":2", "\"slots\":\"2\""}}) {
     std::string bad = good;
     bad.replace(bad.find(from), from.size(), to);
-    EXPECT_EQ(CodeOf([&] { OperatorRows().DecodeServer("i-1", bad); }),
+    EXPECT_EQ(CodeOf([&] { OperatorRowsDecoder().DecodeServer("i-1", bad); }),
               ErrorCode::kMessageMalformed)
         << to;
   }
@@ -144,12 +146,12 @@
     std::string row = round % 2 == 0 ? kConfig : kServer;
     row[random() % row.size()] = static_cast<char>(random());
     try {
-      OperatorRows().DecodeConfiguration(row);
+      OperatorRowsDecoder().DecodeConfiguration(row);
     } catch (const Error& error) {
       EXPECT_EQ(error.GetCode(), ErrorCode::kIntentInvalid);
     }
     try {
-      OperatorRows().DecodeServer("i-1", row);
+      OperatorRowsDecoder().DecodeServer("i-1", row);
     } catch (const Error& error) {
       EXPECT_EQ(error.GetCode(), ErrorCode::kMessageMalformed);
     }
@@ -178,8 +180,8 @@
   return request;
 }
 
-TEST(PlatformFrontTest, TheKeyIsNotPassedOnAndTheWorkspaceIsNotTaken) {
-  const PlatformFront front;
+TEST(PlatformFrontEndTest, TheKeyIsNotPassedOnAndTheWorkspaceIsNotTaken) {
+  const PlatformFrontEnd front;
   const HttpRequest request = GoodRequest();
   const ClientRequest decoded = front.Decode(request);
   EXPECT_EQ(decoded.m_path, "/x/1");
@@ -197,8 +199,8 @@
   EXPECT_EQ(CodeOf([&] { front.Decode(twice); }), ErrorCode::kRequestMalformed);
 }
 
-TEST(PlatformFrontTest, OnlyTheServersOwnCompleteAnswerCounts) {
-  const PlatformFront front;
+TEST(PlatformFrontEndTest, OnlyTheServersOwnCompleteAnswerCounts) {
+  const PlatformFrontEnd front;
   const ClientRequest request = front.Decode(GoodRequest());
   const auto kind_of = [&](int status, const std::vector<HttpHeader>& headers) {
     HttpResponse response;
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "platform/row_store.h"
+#include "platform/platform_table_store.h"
 #include "runtime/http_client.h"
 #include "soak/soak_checks.h"
 #include "support/process.h"
@@ -139,7 +139,7 @@
   std::unique_ptr<Process> m_proxy;
   std::vector<Gateway> m_gateways;
   std::vector<Server> m_servers;
-  RowStore m_store;
+  PlatformTableStore m_store;
   HttpClient m_client;
   std::vector<Healing> m_healings;
   uint64_t m_version = 0;
--- a/tests/support/fake_world.cc
+++ b/tests/support/fake_world.cc
@@ -35,7 +35,7 @@
   }
   const auto row = m_rows.find(key);
   if (row == m_rows.end()) {
-    return {RowOutcome::kMismatch, 0, {}};
+    return {RowOutcome::kVersionMismatch, 0, {}};
   }
   return row->second;
 }
@@ -49,7 +49,7 @@
   const auto row = m_rows.find(key);
   const uint64_t version = row == m_rows.end() ? 0 : row->second.m_version;
   if (version != if_version) {
-    return {RowOutcome::kMismatch, version, {}};
+    return {RowOutcome::kVersionMismatch, version, {}};
   }
   m_rows[key] = {RowOutcome::kDone, ++m_last_version, value};
   if (m_lose_next_answer) {
@@ -89,7 +89,7 @@
   plan.m_id = "p1";
   plan.m_configuration = configuration;
   m_store.Write({"plan", "p1"}, 0, plan);
-  m_store.Write({"config", "current"}, 0, VersionRecord{1, "p1", 0});
+  m_store.Write({"config", "current"}, 0, CurrentConfigRecord{1, "p1", 0});
 }
 
 void FakeWorld::RunFor(Duration duration) {
--- a/tests/support/fake_world.h
+++ b/tests/support/fake_world.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "control/control_tick.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 
 namespace foxtail {
 
@@ -16,7 +16,7 @@
 Configuration OneService();
 
 /// Fake of the platform's tables: in memory, at once, and unreliable on demand.
-class FakeStore : public PlatformStore {
+class FakeStore : public RecordRepository {
  public:
   RowResult Read(const RowKey& key) override;
   RowResult Write(const RowKey& key,
--- a/tests/support/gateway_world.cc
+++ b/tests/support/gateway_world.cc
@@ -330,7 +330,7 @@
     const uint64_t version = missing ? 0 : row->second.m_version;
     result.m_outcome = version == write.m_expected_version
                            ? StoreOutcome::kDone
-                           : StoreOutcome::kMismatch;
+                           : StoreOutcome::kVersionMismatch;
     if (result.m_outcome == StoreOutcome::kDone) {
       Put(write.m_table, write.m_key, write.m_value.value_or(""),
           !write.m_value);
--- a/tests/traffic/dispatch_system_test.cc
+++ b/tests/traffic/dispatch_system_test.cc
@@ -29,11 +29,12 @@
     SyncResponse response;
     response.m_control_epoch = 1;
     response.m_number = number == 0 ? ++m_number : number;
-    response.m_authority_left = milliseconds(500);
-    response.m_lease = milliseconds(1000);
+    response.m_authority_ttl = milliseconds(500);
+    response.m_lease_ttl = milliseconds(1000);
     m_routes.m_version = response.m_number;
     response.m_routes = std::make_shared<CellRoutes>(m_routes);
-    response.m_memories = {{0, milliseconds(0), {}}, {1, milliseconds(0), {}}};
+    response.m_dedup_states = {{0, milliseconds(0), {}},
+                               {1, milliseconds(0), {}}};
     if (leased) {
       response.m_leased_servers = {"s"};
     }
@@ -88,7 +89,7 @@
   SyncResponse late;
   late.m_control_epoch = 1;
   late.m_number = 9;
-  late.m_authority_left = milliseconds(100);
+  late.m_authority_ttl = milliseconds(100);
   late.m_leased_servers = {"s"};
   EXPECT_FALSE(
       m_system.Apply("cell", late, m_now.m_steady - milliseconds(100), m_now));
@@ -129,14 +130,14 @@
   m_system.TakeSlot(server);
   m_system.End(query, m_system.Begin(query, server), SendOutcome::kLost, "",
                milliseconds(1), m_now.m_steady);
-  m_routes.m_partitions[0].m_held = true;
+  m_routes.m_partitions[0].m_paused = true;
   ASSERT_TRUE(Apply());
-  EXPECT_EQ(Report().m_draining.size(), 1U);
+  EXPECT_EQ(Report().m_draining_partitions.size(), 1U);
   m_now.m_steady += milliseconds(500);
   EXPECT_FALSE(m_system.Expire(m_now));
   m_now.m_steady += DispatchSettings().m_wall_skew;
   EXPECT_TRUE(m_system.Expire(m_now));
-  EXPECT_TRUE(Report().m_draining.empty());
+  EXPECT_TRUE(Report().m_draining_partitions.empty());
 }
 
 // A request that waited when its partition was let go did not run, so its id
@@ -149,20 +150,20 @@
   m_system.TakeSlot(server);
   const InFlightId in_flight = m_system.Begin(ran, server);
   m_system.Admit(waits, 2, m_now);
-  m_routes.m_partitions[0].m_held = true;
+  m_routes.m_partitions[0].m_paused = true;
   ASSERT_TRUE(Apply());
   // Not complete while the other one is in flight.
-  EXPECT_TRUE(Report().m_memories.empty());
+  EXPECT_TRUE(Report().m_dedup_states.empty());
   m_system.Abandon(waits, server, 2);
   EXPECT_TRUE(m_system.End(ran, in_flight, SendOutcome::kAnswered, "",
                            milliseconds(1), m_now.m_steady));
   const SyncRequest report = Report();
-  ASSERT_EQ(report.m_memories.size(), 1U);
-  ASSERT_EQ(report.m_memories[0].m_seen.size(), 1U);
-  EXPECT_EQ(report.m_memories[0].m_seen[0].m_hash,
+  ASSERT_EQ(report.m_dedup_states.size(), 1U);
+  ASSERT_EQ(report.m_dedup_states[0].m_accepted.size(), 1U);
+  EXPECT_EQ(report.m_dedup_states[0].m_accepted[0].m_hash,
             SeenRegistry::HashOf(ran.m_id));
   m_system.OnReportAnswered(report);
-  EXPECT_TRUE(Report().m_memories.empty());
+  EXPECT_TRUE(Report().m_dedup_states.empty());
 }
 
 TEST_F(DispatchSystemTest, IdsAreDoubtedAfterALapse) {
@@ -173,8 +174,8 @@
   SyncResponse response;
   response.m_control_epoch = 1;
   response.m_number = ++m_number;
-  response.m_authority_left = milliseconds(500);
-  response.m_lease = milliseconds(1000);
+  response.m_authority_ttl = milliseconds(500);
+  response.m_lease_ttl = milliseconds(1000);
   response.m_leased_servers = {"s"};
   ASSERT_TRUE(m_system.Apply("cell", response, m_now.m_steady, m_now));
   EXPECT_EQ(AdmitFails(Query("a")), ErrorCode::kRequestUnverifiable);
--- a/tests/traffic/traffic_test.cc
+++ b/tests/traffic/traffic_test.cc
@@ -28,7 +28,7 @@
 TEST(RequestIdTest, MadeIdsCanBeRead) {
   const RequestId made = MakeRequestId(kNow);
   const RequestId read = ParseRequestId(made.m_text, kNow, milliseconds(0));
-  EXPECT_EQ(read.m_issued, kNow);
+  EXPECT_EQ(read.m_issued_at, kNow);
 }
 
 TEST(RequestIdTest, OtherFormsAreRefused) {
@@ -163,7 +163,7 @@
   const TimePoint start{milliseconds(10'000)};
   EXPECT_FALSE(budget.TryTake("club", start));
   TokenResponse response;
-  response.m_lifetime = milliseconds(1000);
+  response.m_token_ttl = milliseconds(1000);
   response.m_grants = {{"club", 2}};
   budget.OnGrants(response, start);
   EXPECT_TRUE(budget.TryTake("club", start));
@@ -174,7 +174,7 @@
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
   TokenResponse response;
-  response.m_lifetime = milliseconds(1000);
+  response.m_token_ttl = milliseconds(1000);
   response.m_grants = {{"club", 5}};
   budget.OnGrants(response, start);
   ASSERT_TRUE(budget.TryTake("club", start));
