--- a/src/core/error.cc
+++ b/src/core/error.cc
@@ -10,8 +10,9 @@
 constexpr auto kNotRun = Execution::kNotRun;
 constexpr auto kUnknown = Execution::kUnknown;
 
-// "Not run" is listed only where no byte of the request can have reached a
-// backend server, or where the server itself said that it did not run it.
+// `kNotRun` is the default only for errors where no byte of the request can
+// have reached a backend server, or where the server itself reported that it
+// did not run the request.
 constexpr std::array kErrors = {
     ErrorInfo{ErrorCode::kApiKeyMissing, "api_key_missing", 401, kNotRun,
               "the request carries no API key"},
--- a/src/core/error.h
+++ b/src/core/error.h
@@ -7,14 +7,15 @@
 
 namespace foxtail {
 
-/// What is known about whether a request ran at its backend server.
+/// Whether a request ran at its backend server, as far as known.
 enum class Execution {
   kNotRun,
   kRan,
   kUnknown,
 };
 
-/// Every kind of failure the project reports. docs/ERRORS.md lists them.
+/// Every kind of error that the project reports. A test compares docs/ERRORS.md
+/// with the table of errors.
 enum class ErrorCode {
   kApiKeyMissing,
   kApiKeyUnknown,
@@ -55,7 +56,7 @@
   kInternal,
 };
 
-/// Fixed facts of one error code.
+/// Static properties of an error code.
 struct ErrorInfo {
   ErrorCode m_code;
   std::string_view m_name;
@@ -64,10 +65,10 @@
   std::string_view m_brief;
 };
 
-/// Returns the facts of a code.
+/// Returns the properties of a code.
 const ErrorInfo& InfoOf(ErrorCode code);
 
-/// Returns the facts of every code, in the order of the enumeration.
+/// Returns the properties of all codes, in the order of the enumeration.
 std::span<const ErrorInfo> AllErrors();
 
 /// Finds a code by its name; returns `kInternal` when there is none.
@@ -76,13 +77,13 @@
 /// Returns "not_run", "ran" or "unknown".
 std::string_view NameOf(Execution execution);
 
-/// Root of all exceptions of the project.
+/// Base class of all exceptions of the project.
 class Error : public std::runtime_error {
  public:
-  /// `detail` names the object concerned; it never holds a secret.
+  /// `detail` names the affected object and must not hold a secret.
   explicit Error(ErrorCode code, const std::string& detail = "");
 
-  /// As above, with an execution state other than the code's usual one.
+  /// As above, with an execution state that overrides the code's default.
   Error(ErrorCode code, Execution execution, const std::string& detail);
 
   ErrorCode GetCode() const { return m_code; }
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -15,7 +15,7 @@
 
 namespace foxtail {
 
-/// Number of an event. docs/EVENTS.md is compared with the catalogue by a test.
+/// Number of an event. A test compares docs/EVENTS.md with the catalogue.
 enum class EventNumber {
   kProcessStarted = 100,
   kProcessStopping = 101,
@@ -60,7 +60,8 @@
   kInternalFailure = 900,
 };
 
-/// Fixed facts of an event number.
+/// Static properties of an event. `m_fields` holds the names of its fields,
+/// separated by spaces.
 struct EventInfo {
   EventNumber m_number;
   std::string_view m_name;
@@ -71,7 +72,7 @@
 /// Returns the whole catalogue in numeric order.
 std::span<const EventInfo> EventCatalogue();
 
-/// One named value of an event.
+/// A named value of an event.
 struct EventField {
   std::string_view m_name;
   std::variant<int64_t, std::string> m_value;
@@ -84,12 +85,12 @@
       : m_name(name), m_value(static_cast<int64_t>(value)) {}
 };
 
-/// Writes numbered events of one process as JSON lines, with wall time and a
-/// sequence. Safe to use from any thread.
+/// Writes the events of one process as JSON lines, with wall time and sequence
+/// number. Thread-safe.
 class EventLog {
  public:
-  /// `process` names the process in the time line. `path` is a file to append
-  /// to; empty means standard error, "-" standard output. Throws
+  /// `process` is the name of the process in merged logs. `path` is a file to
+  /// append to; empty means standard error, "-" standard output. Throws
   /// `Error(kSettingInvalid)` when the file cannot be opened.
   EventLog(std::string process, const std::string& path);
   ~EventLog();
--- a/src/core/json.cc
+++ b/src/core/json.cc
@@ -10,16 +10,16 @@
 namespace foxtail {
 namespace {
 
-bool Parse(std::string_view text, Json::Value& value, std::string& faults) {
+bool Parse(std::string_view text, Json::Value& value, std::string& errors) {
   Json::CharReaderBuilder builder;
   Json::CharReaderBuilder::strictMode(&builder.settings_);
   builder["strictRoot"] = false;
   const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
   try {
     return reader->parse(text.data(), text.data() + text.size(), &value,
-                         &faults);
+                         &errors);
   } catch (const Json::Exception& failure) {
-    faults = failure.what();
+    errors = failure.what();
     return false;
   }
 }
@@ -40,16 +40,16 @@
 
 Json::Value ParseJson(std::string_view text) {
   Json::Value value;
-  std::string faults;
-  if (!Parse(text, value, faults)) {
-    throw Error(ErrorCode::kMessageMalformed, faults);
+  std::string errors;
+  if (!Parse(text, value, errors)) {
+    throw Error(ErrorCode::kMessageMalformed, errors);
   }
   return value;
 }
 
 bool TryParseJson(std::string_view text, Json::Value& value) {
-  std::string faults;
-  return Parse(text, value, faults);
+  std::string errors;
+  return Parse(text, value, errors);
 }
 
 }  // namespace foxtail
--- a/src/core/json.h
+++ b/src/core/json.h
@@ -7,17 +7,17 @@
 
 namespace foxtail {
 
-/// Encodes on one line.
+/// Encodes a value on one line.
 std::string JsonText(const Json::Value& value);
 
-/// Encodes with indentation, for people.
+/// Encodes a value with indentation, for human readers.
 std::string JsonPretty(const Json::Value& value);
 
 /// Decodes strictly (no comments, no duplicate names). Throws
 /// `Error(kMessageMalformed)`.
 Json::Value ParseJson(std::string_view text);
 
-/// Decodes strictly; returns whether `text` is JSON.
+/// Decodes strictly. Returns false when `text` is not valid JSON.
 bool TryParseJson(std::string_view text, Json::Value& value);
 
 }  // namespace foxtail
--- a/src/core/metrics.cc
+++ b/src/core/metrics.cc
@@ -16,7 +16,7 @@
 
 constexpr std::array<double, 3> kQuantiles = {0.5, 0.99, 0.999};
 
-const std::string& Other() {
+const std::string& OtherLabel() {
   static const std::string label = "other";
   return label;
 }
@@ -25,7 +25,7 @@
     double,
     acc::stats<acc::tag::count, acc::tag::sum, acc::tag::extended_p_square>>;
 
-std::string Escaped(const std::string& label) {
+std::string EscapeLabel(const std::string& label) {
   std::string text;
   for (const char c : label) {
     if (c == '"' || c == '\\') {
@@ -47,13 +47,14 @@
 Metrics::~Metrics() = default;
 
 template <typename Series>
-const std::string& Metrics::Bounded(const Series& series,
-                                    const std::string& name,
-                                    const std::string& label) const {
+const std::string& Metrics::LimitLabel(const Series& series,
+                                       const std::string& name,
+                                       const std::string& label) const {
   const auto found = series.find(name);
-  const bool full = found != series.end() && !found->second.contains(label) &&
-                    found->second.size() >= m_series_limit;
-  return full ? Other() : label;
+  const bool limit_reached = found != series.end() &&
+                             !found->second.contains(label) &&
+                             found->second.size() >= m_series_limit;
+  return limit_reached ? OtherLabel() : label;
 }
 
 void Metrics::Count(const std::string& name,
@@ -61,7 +62,7 @@
                     const std::string& label,
                     uint64_t amount) {
   m_label_names[name] = label_name;
-  m_counters[name][Bounded(m_counters, name, label)] += amount;
+  m_counters[name][LimitLabel(m_counters, name, label)] += amount;
 }
 
 void Metrics::Observe(const std::string& name,
@@ -69,7 +70,7 @@
                       const std::string& label,
                       Duration latency) {
   m_label_names[name] = label_name;
-  auto& series = m_latencies[name][Bounded(m_latencies, name, label)];
+  auto& series = m_latencies[name][LimitLabel(m_latencies, name, label)];
   if (!series) {
     series = std::make_unique<Latency>();
   }
@@ -82,14 +83,14 @@
     text += fmt::format("# TYPE {} counter\n", name);
     for (const auto& [label, count] : series) {
       text += fmt::format("{}{{{}=\"{}\"}} {}\n", name, m_label_names.at(name),
-                          Escaped(label), count);
+                          EscapeLabel(label), count);
     }
   }
   for (const auto& [name, series] : m_latencies) {
     text += fmt::format("# TYPE {} summary\n", name);
     for (const auto& [label, latency] : series) {
       const std::string labels =
-          fmt::format("{}=\"{}\"", m_label_names.at(name), Escaped(label));
+          fmt::format("{}=\"{}\"", m_label_names.at(name), EscapeLabel(label));
       for (size_t i = 0; i < kQuantiles.size(); ++i) {
         text += fmt::format("{}{{{},quantile=\"{}\"}} {:.6f}\n", name, labels,
                             kQuantiles[i],
--- a/src/core/metrics.h
+++ b/src/core/metrics.h
@@ -12,8 +12,8 @@
 /// Counters and latencies of one thread, with a bounded number of series.
 class Metrics {
  public:
-  /// `series_limit`: most label values kept per metric; the rest are summed up
-  /// under the label "other".
+  /// `series_limit` is the maximum number of label values per metric; further
+  /// values are aggregated under the label "other".
   explicit Metrics(size_t series_limit = 256);
   ~Metrics();
 
@@ -32,7 +32,7 @@
                const std::string& label,
                Duration latency);
 
-  /// Returns all series in the text format that scrapers read.
+  /// Returns all series in the Prometheus text exposition format.
   std::string Text() const;
 
  private:
@@ -40,9 +40,9 @@
   using Key = std::pair<std::string, std::string>;
 
   template <typename Series>
-  const std::string& Bounded(const Series& series,
-                             const std::string& name,
-                             const std::string& label) const;
+  const std::string& LimitLabel(const Series& series,
+                                const std::string& name,
+                                const std::string& label) const;
 
   size_t m_series_limit;
   std::map<std::string, std::string> m_label_names;
--- a/src/core/settings.cc
+++ b/src/core/settings.cc
@@ -12,14 +12,14 @@
 namespace foxtail {
 namespace {
 
-[[noreturn]] void Refuse(const std::string& name,
-                         const std::string& value,
-                         const std::string& allowed) {
+[[noreturn]] void ThrowInvalid(const std::string& name,
+                               const std::string& value,
+                               const std::string& allowed) {
   throw Error(ErrorCode::kSettingInvalid,
               fmt::format("{} = '{}'; allowed: {}", name, value, allowed));
 }
 
-std::string RangeOf(const SettingSpec& spec) {
+std::string AllowedValues(const SettingSpec& spec) {
   if (spec.m_is_text) {
     return fmt::format("{} to {} characters", spec.m_min, spec.m_max);
   }
@@ -27,7 +27,7 @@
                      spec.m_max, spec.m_unit);
 }
 
-void Check(const SettingSpec& spec, const std::string& source) {
+void CheckValue(const SettingSpec& spec, const std::string& source) {
   const std::string& value = spec.m_value;
   uint64_t measure = value.size();
   if (!spec.m_is_text) {
@@ -35,11 +35,11 @@
         std::from_chars(value.data(), value.data() + value.size(), measure);
     if (value.empty() || result.ec != std::errc() ||
         result.ptr != value.data() + value.size()) {
-      Refuse(source, value, RangeOf(spec));
+      ThrowInvalid(source, value, AllowedValues(spec));
     }
   }
   if (measure < spec.m_min || measure > spec.m_max) {
-    Refuse(source, value, RangeOf(spec));
+    ThrowInvalid(source, value, AllowedValues(spec));
   }
 }
 
@@ -57,7 +57,7 @@
     const auto spec = std::ranges::find(specs, name, &SettingSpec::m_variable);
     const std::string value(entry.substr(equals + 1));
     if (spec == specs.end()) {
-      Refuse(std::string(name), value, "a variable listed by --help");
+      ThrowInvalid(std::string(name), value, "a variable listed by --help");
     }
     spec->m_value = value;
     sources[static_cast<size_t>(spec - specs.begin())] = name;
@@ -85,7 +85,8 @@
   try {
     line.parse(argc, argv);
   } catch (const TCLAP::ArgException& failure) {
-    Refuse(failure.argId(), failure.error(), "the flags listed by --help");
+    ThrowInvalid(failure.argId(), failure.error(),
+                 "the flags listed by --help");
   }
   if (help.getValue()) {
     return RunMode::kHelp;
@@ -95,7 +96,8 @@
       specs[i].m_value = arguments[i]->getValue();
       sources[i] = "--" + specs[i].m_flag;
     }
-    Check(specs[i], sources[i].empty() ? "--" + specs[i].m_flag : sources[i]);
+    CheckValue(specs[i],
+               sources[i].empty() ? "--" + specs[i].m_flag : sources[i]);
   }
   return check.getValue() ? RunMode::kCheck : RunMode::kRun;
 }
@@ -112,7 +114,7 @@
         "  --{} <{}>\n      {}\n      variable {}; default {}; "
         "{}\n",
         spec.m_flag, spec.m_unit, spec.m_brief, spec.m_variable,
-        spec.m_default.empty() ? "none" : spec.m_default, RangeOf(spec));
+        spec.m_default.empty() ? "none" : spec.m_default, AllowedValues(spec));
   }
   return text;
 }
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -11,10 +11,10 @@
 namespace foxtail {
 
 /// One setting of a program: a flag, an environment variable and the member it
-/// sets. A flag goes before its variable.
+/// sets. A flag overrides its variable.
 template <typename Settings>
 struct SettingRow {
-  /// Flag without dashes, for example "sync-hold-ms".
+  /// Flag without dashes, for example "lease-hold".
   const char* m_flag;
 
   /// Environment variable, with the program's prefix.
@@ -33,7 +33,7 @@
       m_member;
 };
 
-/// A row without its member, as the reader works on it.
+/// A setting and its value as text, independent of the struct that stores it.
 struct SettingSpec {
   std::string m_flag;
   std::string m_variable;
@@ -44,11 +44,11 @@
   std::string m_default;
   bool m_is_text = false;
 
-  /// Value found; the default when the setting was not given.
+  /// Value that was read, or the default when the setting was not given.
   std::string m_value;
 };
 
-/// What a command line asks for besides settings.
+/// Action that the command line requests.
 enum class RunMode {
   kRun,
   kCheck,
@@ -56,23 +56,23 @@
 };
 
 /// Reads flags and variables into `specs`. `prefix` is that of the program's
-/// variables; an unknown variable with it is a fault. Throws
-/// `Error(kSettingInvalid)` naming the setting, its value and what is allowed.
+/// variables; an unknown variable with this prefix is an error. Throws
+/// `Error(kSettingInvalid)` with the setting, its value and the allowed values.
 RunMode ReadSettings(int argc,
                      const char* const* argv,
                      const char* const* environment,
                      const std::string& prefix,
                      std::vector<SettingSpec>& specs);
 
-/// Prints the settings as help text.
+/// Returns the settings as help text.
 std::string SettingsHelp(const std::string& program,
                          const std::string& brief,
                          std::span<const SettingSpec> specs);
 
-/// Prints the settings as rows of a Markdown table.
+/// Returns the settings as a Markdown table.
 std::string SettingsMarkdown(std::span<const SettingSpec> specs);
 
-/// Describes rows with the defaults of `defaults`.
+/// Builds the specs of `rows`, with the default values of `defaults`.
 template <typename Settings>
 std::vector<SettingSpec> SpecsOf(std::span<const SettingRow<Settings>> rows,
                                  const Settings& defaults) {
@@ -96,7 +96,7 @@
   return specs;
 }
 
-/// Stores the values that were read in the members of the rows.
+/// Stores the values of `specs` in the members that `rows` refer to.
 template <typename Settings>
 void StoreSettings(std::span<const SettingRow<Settings>> rows,
                    const std::vector<SettingSpec>& specs,
--- a/src/core/table.h
+++ b/src/core/table.h
@@ -10,8 +10,8 @@
 
 namespace foxtail {
 
-/// A table of plain rows addressed by typed ids. Erased indexes are reused with
-/// a new sequence, so an old id never finds a new row.
+/// A table of plain rows addressed by typed ids. The index of an erased row is
+/// reused with a new sequence, so a stale id never finds a new row.
 template <typename Row>
 class Table {
  public:
@@ -72,8 +72,8 @@
     return *row;
   }
 
-  /// Calls `visit(id, row)` for each row in index order. Rows may be changed
-  /// and the visited row erased, but none inserted.
+  /// Calls `visit(id, row)` for each row in index order. `visit` may change
+  /// rows and erase the visited row, but must not insert rows.
   template <typename Visit>
   void ForEach(Visit visit) {
     for (uint32_t i = 0; i < m_slots.size(); ++i) {
--- a/src/core/time.h
+++ b/src/core/time.h
@@ -6,15 +6,17 @@
 
 namespace foxtail {
 
-/// Monotonic clock of every decision; it goes on while a process is stopped.
+/// Monotonic clock for all decisions. It keeps running while the process is
+/// stopped.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
 
 /// Monotonic clock that also counts the time for which the host is suspended.
-/// What must end for others while this process stands still is measured by it.
+/// It measures limits that other processes enforce while this process stands
+/// still.
 struct BootClock {
-  using duration = std::chrono::nanoseconds;  // NOLINT: names of the library
+  using duration = std::chrono::nanoseconds;  // NOLINT: standard names
   using rep = duration::rep;                  // NOLINT
   using period = duration::period;            // NOLINT
   using time_point = std::chrono::time_point<BootClock>;  // NOLINT
@@ -29,17 +31,17 @@
 };
 using BootTime = BootClock::time_point;
 
-/// Wall clock, used only for absolute request deadlines and event stamps.
+/// Wall clock, used only for absolute request deadlines and event timestamps.
 using WallTime = std::chrono::time_point<std::chrono::system_clock,
                                          std::chrono::milliseconds>;
 
-/// Returns the wall clock now, cut to milliseconds.
+/// Returns the current wall time, truncated to milliseconds.
 inline WallTime WallNow() {
   return std::chrono::time_point_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now());
 }
 
-/// All clocks read at one moment. Decisions take it as an argument.
+/// Readings of all clocks at one moment, passed as an argument to decisions.
 struct Now {
   TimePoint m_steady;
   WallTime m_wall;
@@ -51,12 +53,12 @@
   return {Clock::now(), WallNow(), BootClock::now()};
 }
 
-/// Seconds as a floating point number, for rates.
+/// Converts a duration to seconds as a floating point number.
 inline double ToSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-/// The time of a number of seconds.
+/// Converts seconds to a duration.
 inline Duration FromSeconds(double seconds) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(seconds));
--- a/src/core/typed_id.h
+++ b/src/core/typed_id.h
@@ -5,8 +5,9 @@
 
 namespace foxtail {
 
-/// Index and sequence of a table row. The sequence tells a reused index from
-/// the row that had it before. `Tag` keeps ids of different tables apart.
+/// Index and sequence of a table row. The sequence distinguishes the row from
+/// earlier rows at the same index. `Tag` makes ids of different tables
+/// different types.
 template <typename Tag>
 struct TypedId {
   static constexpr uint32_t kNone = UINT32_MAX;
--- a/src/messages/archive_bytes.h
+++ b/src/messages/archive_bytes.h
@@ -9,7 +9,7 @@
 
 namespace foxtail {
 
-/// Encodes parts in the compact binary form of all messages and records.
+/// Encodes `parts` in the compact binary format of all messages and records.
 template <typename... Parts>
 std::string ToArchive(const Parts&... parts) {
   std::ostringstream stream;
@@ -18,8 +18,8 @@
   return std::move(stream).str();
 }
 
-/// Lets `body(archive)` decode bytes. Throws `Error(kMessageMalformed)` when
-/// they do not hold what it asks for.
+/// Calls `body(archive)` to decode `bytes`. Throws `Error(kMessageMalformed)`
+/// when the bytes do not match what `body` reads.
 template <typename Body>
 void FromArchive(const std::string& bytes, Body body) {
   try {
--- a/src/messages/codec.cc
+++ b/src/messages/codec.cc
@@ -11,8 +11,8 @@
 
 namespace foxtail {
 
-// The library finds these by argument-dependent lookup, so they stand in the
-// messages' own namespace.
+// cereal finds these functions by argument-dependent lookup, so they are in the
+// namespace of the messages.
 template <typename Archive>
 void serialize(Archive& archive, DispatcherIdentity& m) {  // NOLINT
   archive(m.m_address, m.m_incarnation);
@@ -68,7 +68,7 @@
   archive(m.m_key, m.m_server);
 }
 
-// Servers travel as `RouteServer`, so they are left out here.
+// Servers are sent as `RouteServer`, so they are omitted here.
 template <typename Archive>
 void serialize(Archive& archive, ServiceConfig& m) {  // NOLINT
   archive(m.m_name, m.m_partitions, m.m_open, m.m_checks_fence,
--- a/src/messages/codec.h
+++ b/src/messages/codec.h
@@ -6,8 +6,8 @@
 
 namespace foxtail {
 
-/// Encodes and decodes the messages between the project's own processes in a
-/// compact binary form. Decoders throw `Error(kMessageMalformed)`.
+/// Encode and decode the messages between the project's own processes in a
+/// compact binary format. Decoders throw `Error(kMessageMalformed)`.
 std::string EncodeMessage(const SyncRequest& message);
 std::string EncodeMessage(const SyncResponse& message);
 std::string EncodeMessage(const TokenRequest& message);
--- a/src/messages/sync_messages.h
+++ b/src/messages/sync_messages.h
@@ -10,8 +10,8 @@
 
 namespace foxtail {
 
-/// One traffic thread of an entry, as a dispatcher: its internal address and
-/// the id of this run of it.
+/// Identity of a dispatcher, which is one traffic thread of an entry: its
+/// internal address and the id of its incarnation.
 struct DispatcherIdentity {
   std::string m_address;
   std::string m_incarnation;
@@ -19,52 +19,52 @@
   auto operator<=>(const DispatcherIdentity&) const = default;
 };
 
-/// What a dispatcher saw of one backend server since its last report.
+/// Observations of a dispatcher about one backend server since the last report.
 struct ServerObservation {
   std::string m_server;
   uint32_t m_in_flight = 0;
   uint32_t m_queued = 0;
   uint64_t m_responses = 0;
 
-  /// Connections that broke or could not be made.
+  /// Connections that broke or could not be opened.
   uint32_t m_connection_failures = 0;
 };
 
-/// A partition that a dispatcher no longer sends to, but whose requests are
-/// not all answered or past their deadline.
+/// A partition that a dispatcher no longer sends requests to, while some of its
+/// requests are neither answered nor past their deadline.
 struct DrainingPartition {
   PartitionNumber m_number = 0;
   uint64_t m_epoch = 0;
 };
 
-/// A request that may not be repeated, as the dispatcher remembers it.
+/// Deduplication entry of an accepted request that must not run twice.
 struct AcceptedRequest {
   uint64_t m_hash = 0;
 
-  /// Unix time in the request id.
+  /// Unix time that the request id contains.
   std::chrono::milliseconds m_issued_at{0};
 };
 
-/// What a dispatcher remembers of a partition that it let go cleanly.
+/// Deduplication state of a partition that a dispatcher released cleanly.
 struct PartitionDedupState {
   PartitionNumber m_number = 0;
 
-  /// Unix time since which every request id was seen.
+  /// Unix time since which the state contains every accepted request id.
   std::chrono::milliseconds m_complete_since{0};
   std::vector<AcceptedRequest> m_accepted;
 };
 
-/// A request fingerprint that was in flight when a backend server crashed.
+/// Fingerprint of a request that was in flight when a backend server crashed.
 struct CrashSuspect {
   uint64_t m_fingerprint = 0;
 
   /// Crashes with other requests in flight.
   uint32_t m_shared_crashes = 0;
 
-  /// Crashes in which it was the only request in flight.
+  /// Crashes with no other request in flight.
   uint32_t m_solo_crashes = 0;
 
-  /// It ran alone and was answered, so it is no suspect any more.
+  /// The request ran alone and was answered, so it is no longer a suspect.
   bool m_cleared = false;
 };
 
@@ -74,22 +74,23 @@
   uint32_t m_requests = 0;
 };
 
-/// Dispatcher to controller of a cell; answered when something changed or the
-/// hold time is over.
+/// Report of a dispatcher to the controller of a cell. The controller responds
+/// when something has changed or the long poll times out.
 struct SyncRequest {
   std::string m_cell;
   DispatcherIdentity m_dispatcher;
   std::string m_data_centre;
 
-  /// Newest routes the dispatcher acts on.
+  /// Newest routes that the dispatcher has applied.
   uint64_t m_control_epoch = 0;
   uint64_t m_routes_version = 0;
   uint64_t m_config_version = 0;
 
-  /// Newest `SyncResponse::m_number` it acts on, of `m_control_epoch`.
+  /// Newest applied `SyncResponse::m_number` of `m_control_epoch`.
   uint64_t m_applied_number = 0;
 
-  /// Backend servers whose dispatch lease was unexpired when this was sent.
+  /// Backend servers whose dispatch lease was unexpired when the report was
+  /// sent.
   std::vector<std::string> m_leased_servers;
 
   /// Backend servers without a lease that still have requests in flight.
@@ -100,7 +101,7 @@
   std::vector<CrashSuspect> m_suspects;
   std::vector<PartitionLoad> m_loads;
 
-  /// Set on a planned stop: the dispatcher wants no leases any more.
+  /// Set on a graceful shutdown: the dispatcher requests no more leases.
   bool m_shutting_down = false;
 };
 
@@ -111,7 +112,7 @@
   uint32_t m_slots = 1;
   uint32_t m_queue = 0;
 
-  /// Internal address of its dispatcher; empty while there is none.
+  /// Internal address of the server's dispatcher; empty while there is none.
   std::string m_dispatcher;
 };
 
@@ -123,7 +124,7 @@
   uint32_t m_server = 0;
   uint64_t m_epoch = 0;
 
-  /// While set, requests wait: the partition is being moved.
+  /// Set while the partition moves; its requests wait meanwhile.
   bool m_paused = false;
 };
 
@@ -132,7 +133,8 @@
   uint64_t m_control_epoch = 0;
   uint64_t m_version = 0;
 
-  /// Name, options and routes; servers and pins are in `m_servers` and below.
+  /// Name, options, routes and pinned keys. The servers are in `m_servers`, the
+  /// owners of pinned keys in `m_partitions`.
   ServiceConfig m_service;
   std::vector<RouteServer> m_servers;
 
@@ -152,31 +154,32 @@
   std::vector<std::string> m_services;
 };
 
-/// How the other side answered.
+/// Status of a controller's response.
 enum class SyncStatus : uint8_t {
   kOk,
-  /// This process does not control the cell; `m_controller` may name who does.
+  /// This process does not control the cell; `m_controller` may hold the
+  /// address of the process that does.
   kNotController,
 };
 
-/// Controller of a cell to a dispatcher.
+/// Response of the controller of a cell to a dispatcher.
 struct SyncResponse {
   SyncStatus m_status = SyncStatus::kOk;
   std::string m_controller;
   uint64_t m_control_epoch = 0;
   uint64_t m_config_version = 0;
 
-  /// Grows with each answer of one controller, so that a dispatcher never
-  /// acts on an answer that was overtaken by a newer one.
+  /// Grows with each response of one controller, so that a dispatcher never
+  /// applies a response after a newer one.
   uint64_t m_number = 0;
 
-  /// Validity of this answer, counted from when the request was sent.
+  /// TTL of this response, counted from when the request was sent.
   std::chrono::milliseconds m_authority_ttl{0};
 
-  /// How long the controller held the request before it answered.
+  /// Time for which the request was pending at the controller.
   std::chrono::milliseconds m_pending_for{0};
 
-  /// Length of the dispatch leases, counted from when the answer was made,
+  /// TTL of the dispatch leases, counted from when the response was built,
   /// which is no earlier than the sending of the request plus `m_pending_for`.
   std::chrono::milliseconds m_lease_ttl{0};
 
@@ -186,50 +189,51 @@
   /// Set when the dispatcher's view of workspaces was older.
   std::shared_ptr<const AccessView> m_access;
 
-  /// Backend servers this dispatcher may send to until the lease ends.
+  /// Backend servers to which the dispatcher may send until the lease expires.
   std::vector<std::string> m_leased_servers;
 
-  /// Memories handed over with partitions that moved to this dispatcher.
+  /// Deduplication states of the partitions that moved to this dispatcher.
   std::vector<PartitionDedupState> m_dedup_states;
 };
 
-/// Demand of one workspace at one dispatcher.
+/// Demand for tokens of one workspace at one dispatcher.
 struct TokenDemand {
   std::string m_workspace;
 
-  /// Tokens used since the last request that was answered.
+  /// Tokens used since the last demand. Each use is reported once, even if the
+  /// response is lost.
   double m_spent = 0;
 
-  /// Unused tokens given back.
+  /// Unused tokens that are returned.
   double m_returned = 0;
 
-  /// Tokens asked for, and how many of them requests wait for. Those are used
-  /// as soon as they arrive and never reported.
+  /// Requested tokens, and how many of them are for requests that already wait.
+  /// The latter are used as soon as they arrive and never reported.
   double m_requested = 0;
   double m_waiting = 0;
 };
 
-/// Entry to controller of the access cell.
+/// Request of an entry to the controller of the access cell.
 struct TokenRequest {
   DispatcherIdentity m_dispatcher;
   std::vector<TokenDemand> m_demands;
 };
 
-/// Tokens handed out for one workspace.
+/// Tokens issued for one workspace.
 struct TokenGrant {
   std::string m_workspace;
   double m_tokens = 0;
 
-  /// How many of them are for requests that wait.
+  /// How many of `m_tokens` are for requests that already wait.
   double m_for_waiting = 0;
 };
 
-/// Controller of the access cell to an entry.
+/// Response of the controller of the access cell to an entry.
 struct TokenResponse {
   SyncStatus m_status = SyncStatus::kOk;
   std::string m_controller;
 
-  /// Life of the tokens, counted from when the request was sent.
+  /// TTL of the tokens, counted from when the request was sent.
   std::chrono::milliseconds m_token_ttl{0};
   std::vector<TokenGrant> m_grants;
 };
--- a/src/messages/token_archive.h
+++ b/src/messages/token_archive.h
@@ -4,8 +4,8 @@
 
 namespace foxtail {
 
-// How the archives of the codecs take tokens; found by argument-dependent
-// lookup.
+// Serialisation of token messages, shared by several codecs. cereal finds these
+// functions by argument-dependent lookup.
 
 template <typename Archive>
 void serialize(Archive& archive, TokenDemand& m) {  // NOLINT
--- a/src/store/record_json.cc
+++ b/src/store/record_json.cc
@@ -6,14 +6,14 @@
 namespace foxtail {
 namespace {
 
-Json::Value Encode(const ControlProcess& instance) {
+Json::Value Encode(const ControlProcess& process) {
   Json::Value value;
-  value["instance"] = instance.m_incarnation;
-  value["address"] = instance.m_address;
+  value["instance"] = process.m_incarnation;
+  value["address"] = process.m_address;
   return value;
 }
 
-ControlProcess DecodeInstance(const Json::Value& value) {
+ControlProcess DecodeProcess(const Json::Value& value) {
   return {value["instance"].asString(), value["address"].asString()};
 }
 
@@ -80,22 +80,22 @@
 };
 
 Configuration DecodeConfiguration(const Json::Value& document) {
-  std::vector<IntentFault> faults;
-  Configuration configuration = ConfigurationFromJson(document, faults);
-  if (!faults.empty()) {
-    throw Error(ErrorCode::kMessageMalformed, faults.front().m_place);
+  std::vector<IntentFault> errors;
+  Configuration configuration = ConfigurationFromJson(document, errors);
+  if (!errors.empty()) {
+    throw Error(ErrorCode::kMessageMalformed, errors.front().m_place);
   }
   return configuration;
 }
 
 RecordValue DecodeLease(const Json::Value& value) {
   LeaseRecord record;
-  record.m_holder = DecodeInstance(value["holder"]);
+  record.m_holder = DecodeProcess(value["holder"]);
   record.m_epoch = value["epoch"].asUInt64();
   record.m_renewals = value["renewals"].asUInt64();
   record.m_released = value["released"].asBool();
   for (const Json::Value& standby : value["standbys"]) {
-    record.m_standbys.push_back(DecodeInstance(standby));
+    record.m_standbys.push_back(DecodeProcess(standby));
   }
   return record;
 }
--- a/src/store/record_json.h
+++ b/src/store/record_json.h
@@ -6,7 +6,7 @@
 
 namespace foxtail {
 
-/// Encodes a row value, with its kind.
+/// Encodes a row value together with its kind.
 Json::Value RecordToJson(const RecordValue& record);
 
 /// Decodes a row value. Throws `Error(kMessageMalformed)`.
--- a/src/store/record_repository.h
+++ b/src/store/record_repository.h
@@ -8,7 +8,7 @@
 
 namespace foxtail {
 
-/// Names one row of the platform's table service.
+/// Key of one row in the table store.
 struct RowKey {
   std::string m_table;
   std::string m_key;
@@ -16,12 +16,12 @@
   auto operator<=>(const RowKey&) const = default;
 };
 
-/// How a read or write ended.
+/// Outcome of a read or write.
 enum class RowOutcome {
   kDone,
   /// The row is missing (read) or has another version (write).
   kVersionMismatch,
-  /// No answer: a write may or may not have taken effect.
+  /// No usable response: a write may or may not have taken effect.
   kNoResponse,
 };
 
@@ -32,15 +32,16 @@
   RecordValue m_value;
 };
 
-/// The platform's transactional table service, as the project uses it.
+/// Reads and writes typed records in the platform's table store.
 class RecordRepository {
  public:
   virtual ~RecordRepository() = default;
 
-  /// Reads a row.
+  /// Reads and decodes a row.
   virtual RowResult Read(const RowKey& key) = 0;
 
-  /// Writes a row if it still has `if_version` (0: only if it is missing).
+  /// Writes a row if its version is still `if_version` (0: only if the row is
+  /// missing).
   virtual RowResult Write(const RowKey& key,
                           uint64_t if_version,
                           const RecordValue& value) = 0;
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -9,8 +9,8 @@
 
 namespace foxtail {
 
-/// A control process: its JSON-RPC address and the id of this run of it. A
-/// restarted process is another instance.
+/// A control process: the id of its incarnation and its JSON-RPC address. A
+/// restarted process is another incarnation.
 struct ControlProcess {
   std::string m_incarnation;
   std::string m_address;
@@ -18,20 +18,20 @@
   auto operator<=>(const ControlProcess&) const = default;
 };
 
-/// Row lease/CELL: who controls a cell.
+/// Row lease/CELL: the control lease of a cell.
 struct LeaseRecord {
   ControlProcess m_holder;
 
   /// Grows by one with each takeover.
   uint64_t m_epoch = 0;
 
-  /// Grows by one with each renewal, so that the row changes.
+  /// Grows by one with each renewal, so that each renewal changes the row.
   uint64_t m_renewals = 0;
 
-  /// Processes that may take over once the lease has lapsed.
+  /// Processes that may take over once the lease has expired.
   std::vector<ControlProcess> m_standbys;
 
-  /// Set on a planned stop: anyone may take over at once.
+  /// Set on a graceful shutdown: any process may take over at once.
   bool m_released = false;
 
   bool operator==(const LeaseRecord&) const = default;
@@ -47,8 +47,8 @@
   /// Fencing epoch; grows by one with each change of owner.
   uint64_t m_epoch = 0;
 
-  /// The owner before, until its right is known to have ended. A controller
-  /// that takes over finishes the move from here.
+  /// Previous owner, kept until its grant is known to have ended. A successor
+  /// of the controller finishes the move from this state.
   std::string m_previous;
 
   bool operator==(const PartitionOwner&) const = default;
@@ -56,7 +56,7 @@
 
 /// Row assignment/CELL: the owners of all partitions of a cell.
 struct AssignmentRecord {
-  /// Epoch of the controller that wrote it.
+  /// Epoch of the controller that wrote the row.
   uint64_t m_control_epoch = 0;
 
   /// Grows by one with each write.
@@ -70,7 +70,7 @@
 struct CurrentConfigRecord {
   uint64_t m_version = 0;
 
-  /// Plan that was confirmed as this version.
+  /// Id of the plan that was confirmed as this version.
   std::string m_plan;
 
   /// Wall time of the confirmation, Unix milliseconds.
@@ -86,11 +86,11 @@
   kAbandoned,
 };
 
-/// Row plan/ID: a proposed configuration and what it costs.
+/// Row plan/ID: a proposed configuration and its cost.
 struct PlanRecord {
   std::string m_id;
 
-  /// What the operator asked for, in words.
+  /// Human-readable summary of the change that the operator requested.
   std::string m_summary;
 
   /// Configuration version the plan was computed against.
@@ -98,20 +98,21 @@
   PlanState m_state = PlanState::kOpen;
   uint64_t m_moves = 0;
 
-  /// Sum of the expected hold times of all moves, milliseconds.
+  /// Sum over all moves of the expected time for which requests are paused, in
+  /// milliseconds.
   double m_unavailable_ms = 0;
 
-  /// Version it became, once confirmed.
+  /// Configuration version of the plan once it is confirmed.
   uint64_t m_confirmed_version = 0;
 
-  /// One line per change, for people.
+  /// Human-readable description, one line per change.
   std::vector<std::string> m_changes;
   Configuration m_configuration;
 
   bool operator==(const PlanRecord&) const = default;
 };
 
-/// Any row value that the project keeps in the platform.
+/// Value of any row that the project stores in the platform's table store.
 using RecordValue = std::variant<std::monostate,
                                  LeaseRecord,
                                  AssignmentRecord,
--- a/src/store/table_record_repository.h
+++ b/src/store/table_record_repository.h
@@ -6,10 +6,10 @@
 
 namespace foxtail {
 
-/// Keeps the control daemons' typed records in the table store, as JSON.
+/// Stores the control daemons' records in the table store as JSON.
 class TableRecordRepository : public RecordRepository {
  public:
-  /// `timeout` bounds each call; a later answer is dropped.
+  /// `timeout` bounds each call; a response that arrives later is discarded.
   TableRecordRepository(TableStore& store, Duration timeout);
 
   RowResult Read(const RowKey& key) override;
--- a/src/store/table_store.h
+++ b/src/store/table_store.h
@@ -9,18 +9,18 @@
 
 namespace foxtail {
 
-/// How a call to the table store ended.
+/// Outcome of a call to the table store.
 enum class StoreOutcome {
   kDone,
   /// A row had another version than the call required; nothing was written.
   kVersionMismatch,
-  /// The store refused the call for its rate; nothing was done.
+  /// The store rejected the call because of the call rate; nothing was done.
   kRateLimited,
-  /// The store could not be reached or refused; nothing was done.
+  /// The store could not be reached or rejected the call; nothing was done.
   kUnavailable,
-  /// No answer: a write may take effect, even seconds later.
+  /// No readable response: a write may take effect, even seconds later.
   kUnknown,
-  /// The changes since the given version are no longer kept.
+  /// The store no longer keeps the changes since the given version.
   kHistoryLost,
 };
 
@@ -32,21 +32,23 @@
   std::string m_key;
   std::string m_value;
 
-  /// Version of the row; grows with each change of any row of the store.
+  /// Version of the row. Versions grow with each change of any row of the
+  /// store.
   uint64_t m_version = 0;
 
-  /// The row was removed.
+  /// Whether the row was removed; `m_value` is empty then.
   bool m_removed = false;
 };
 
-/// Rows of a table, and the store's version at that moment.
+/// Result of a read or watch: rows of a table, and the store's version at the
+/// moment of the read.
 struct RowsResult {
   StoreOutcome m_outcome = StoreOutcome::kUnavailable;
   std::vector<StoredRow> m_rows;
   uint64_t m_version = 0;
 };
 
-/// A conditional write of one row.
+/// A conditional write or removal of one row.
 struct RowWrite {
   std::string m_table;
   std::string m_key;
@@ -54,17 +56,18 @@
   /// Version the row must have; 0 means that it must not exist.
   uint64_t m_expected_version = 0;
 
-  /// New value; nothing removes the row.
+  /// New value; `std::nullopt` removes the row.
   std::optional<std::string> m_value;
 };
 
-/// Result of a write: the row's new version, or the one that did not match.
+/// Result of a write. `m_version` is the row's new version or, after
+/// `kVersionMismatch`, the version that did not match.
 struct WriteResult {
   StoreOutcome m_outcome = StoreOutcome::kUnavailable;
   uint64_t m_version = 0;
 };
 
-/// The transactional table store that keeps everything that must last.
+/// Transactional table store for all persistent state.
 class TableStore {
  public:
   virtual ~TableStore() = default;
@@ -74,12 +77,12 @@
                           const std::string& key,
                           Duration timeout) = 0;
 
-  /// Waits up to `wait` for changes after a version.
+  /// Waits up to `wait` for changes after a version and returns them.
   virtual RowsResult Watch(const std::string& table,
-                           uint64_t after,
+                           uint64_t after_version,
                            Duration wait) = 0;
 
-  /// Writes one row under a condition.
+  /// Writes or removes one row if it has the expected version.
   virtual WriteResult Write(const RowWrite& write, Duration timeout) = 0;
 };
 
--- a/tests/core/docs_test.cc
+++ b/tests/core/docs_test.cc
@@ -20,12 +20,12 @@
           std::istreambuf_iterator<char>()};
 }
 
-TEST(DocsTest, EventsPageIsTheCatalogue) {
+TEST(DocsTest, EventsPageMatchesCatalogue) {
   std::string table;
   int last = 0;
   for (const EventInfo& event : EventCatalogue()) {
     const int number = static_cast<int>(event.m_number);
-    EXPECT_GT(number, last) << "numbers grow";
+    EXPECT_GT(number, last) << "event numbers must ascend";
     last = number;
     table += fmt::format("| {} | {} | {} | {} |\n", number, event.m_name,
                          event.m_fields.empty() ? "none" : event.m_fields,
@@ -34,7 +34,7 @@
   EXPECT_NE(ReadDoc("EVENTS.md").find(table), std::string::npos) << table;
 }
 
-TEST(DocsTest, ErrorsPageIsTheTableOfErrors) {
+TEST(DocsTest, ErrorsPageMatchesTableOfErrors) {
   std::string table;
   std::set<std::string_view> names;
   for (const ErrorInfo& error : AllErrors()) {
@@ -47,7 +47,7 @@
   EXPECT_NE(ReadDoc("ERRORS.md").find(table), std::string::npos) << table;
 }
 
-TEST(DocsTest, SettingsPageHoldsTheTables) {
+TEST(DocsTest, SettingsPageContainsTables) {
   const std::string page = ReadDoc("SETTINGS.md");
   const std::string entry =
       SettingsMarkdown(SpecsOf(EntrySettingRows(), EntrySettings()));
--- a/tests/core/settings_test.cc
+++ b/tests/core/settings_test.cc
@@ -33,8 +33,8 @@
   return sample;
 }
 
-std::string FaultOf(const std::vector<const char*>& arguments,
-                    const std::vector<const char*>& variables) {
+std::string ErrorDetailOf(const std::vector<const char*>& arguments,
+                          const std::vector<const char*>& variables) {
   try {
     Read(arguments, variables);
     return "";
@@ -44,25 +44,25 @@
   }
 }
 
-TEST(SettingsTest, FlagGoesBeforeVariableBeforeDefault) {
+TEST(SettingsTest, FlagOverridesVariableAndVariableOverridesDefault) {
   EXPECT_EQ(Read({}, {}).m_count, 3U);
   EXPECT_EQ(Read({}, {"SAMPLE_COUNT=4"}).m_count, 4U);
   EXPECT_EQ(Read({"--count", "5"}, {"SAMPLE_COUNT=4"}).m_count, 5U);
   EXPECT_EQ(Read({"--wait", "70"}, {}).m_wait, std::chrono::milliseconds(70));
 }
 
-TEST(SettingsTest, FaultNamesSettingValueAndWhatIsAllowed) {
-  EXPECT_EQ(FaultOf({"--count", "11"}, {}),
+TEST(SettingsTest, ErrorContainsSettingValueAndAllowedValues) {
+  EXPECT_EQ(ErrorDetailOf({"--count", "11"}, {}),
             "--count = '11'; allowed: a whole number from 1 to 10 (things)");
-  EXPECT_EQ(FaultOf({}, {"SAMPLE_COUNT=many"}),
+  EXPECT_EQ(ErrorDetailOf({}, {"SAMPLE_COUNT=many"}),
             "SAMPLE_COUNT = 'many'; allowed: a whole number from 1 to 10 "
             "(things)");
-  EXPECT_EQ(FaultOf({"--name", "far-too-long"}, {}),
+  EXPECT_EQ(ErrorDetailOf({"--name", "far-too-long"}, {}),
             "--name = 'far-too-long'; allowed: 1 to 8 characters");
-  EXPECT_EQ(FaultOf({}, {"SAMPLE_COLOUR=red"}),
+  EXPECT_EQ(ErrorDetailOf({}, {"SAMPLE_COLOUR=red"}),
             "SAMPLE_COLOUR = 'red'; allowed: a variable listed by --help");
-  EXPECT_NE(FaultOf({"--colour", "red"}, {}), "");
-  EXPECT_EQ(FaultOf({}, {"OTHER_COLOUR=red"}), "");
+  EXPECT_NE(ErrorDetailOf({"--colour", "red"}, {}), "");
+  EXPECT_EQ(ErrorDetailOf({}, {"OTHER_COLOUR=red"}), "");
 }
 
 }  // namespace
--- a/tests/core/table_test.cc
+++ b/tests/core/table_test.cc
@@ -5,7 +5,7 @@
 namespace foxtail {
 namespace {
 
-TEST(TableTest, OldIdDoesNotFindNewRow) {
+TEST(TableTest, StaleIdDoesNotFindNewRow) {
   Table<int> table;
   const auto first = table.Insert(1);
   table.Erase(first);
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -27,7 +27,7 @@
     R"({"address":"10.0.0.9:80","born":17,"info":{"service":"s","zone":"z",
     "slots":2},"status":{"state":"draining","warmup_left_s":1.5}})";
 
-ErrorCode CodeOf(const std::function<void()>& body) {
+ErrorCode ErrorCodeOf(const std::function<void()>& body) {
   try {
     body();
   } catch (const Error& error) {
@@ -36,7 +36,7 @@
   return ErrorCode::kInternal;
 }
 
-TEST(OperatorRowsDecoderTest, AConfigurationIsDecodedOnce) {
+TEST(OperatorRowsDecoderTest, DecodesConfiguration) {
   const RoutingConfig config =
       OperatorRowsDecoder().DecodeConfiguration(kConfig);
   EXPECT_EQ(config.m_version, 12U);
@@ -49,7 +49,7 @@
   EXPECT_EQ(config.m_limits.m_idle_timeout, std::chrono::seconds(15));
 }
 
-TEST(OperatorRowsDecoderTest, WrongConfigurationsAreRefused) {
+TEST(OperatorRowsDecoderTest, RejectsInvalidConfigurations) {
   const std::string good = kConfig;
   for (const auto& [from, to] :
        std::vector<std::pair<std::string, std::string>>{
@@ -64,13 +64,14 @@
            {"{\"version\"", "\"version\""}}) {
     std::string bad = good;
     bad.replace(bad.find(from), from.size(), to);
-    EXPECT_EQ(CodeOf([&] { OperatorRowsDecoder().DecodeConfiguration(bad); }),
-              ErrorCode::kIntentInvalid)
+    EXPECT_EQ(
+        ErrorCodeOf([&] { OperatorRowsDecoder().DecodeConfiguration(bad); }),
+        ErrorCode::kIntentInvalid)
         << to;
   }
 }
 
-TEST(OperatorRowsDecoderTest, AServerIsDecodedAndWrongOnesNameNone) {
+TEST(OperatorRowsDecoderTest, DecodesServersAndRejectsInvalidOnes) {
   const BackendServerEntry server =
       OperatorRowsDecoder().DecodeServer("i-1", kServer);
   EXPECT_TRUE(server.m_draining);
@@ -86,13 +87,14 @@
            {"\"slots\":2", "\"slots\":\"2\""}}) {
     std::string bad = good;
     bad.replace(bad.find(from), from.size(), to);
-    EXPECT_EQ(CodeOf([&] { OperatorRowsDecoder().DecodeServer("i-1", bad); }),
-              ErrorCode::kMessageMalformed)
+    EXPECT_EQ(
+        ErrorCodeOf([&] { OperatorRowsDecoder().DecodeServer("i-1", bad); }),
+        ErrorCode::kMessageMalformed)
         << to;
   }
 }
 
-TEST(ClusterCodecTest, OwnersRecordsSurviveEncoding) {
+TEST(ClusterCodecTest, OwnersRecordsRoundTrip) {
   OwnersRecord owners;
   owners.m_epoch = 3;
   owners.m_number = 9;
@@ -102,7 +104,8 @@
   EXPECT_EQ(DecodeOwnersRecord(EncodeRecord(owners)), owners);
 }
 
-// Each server is named once, however many ranges it owns.
+// The encoding contains each server's name once, however many ranges the server
+// owns.
 TEST(ClusterCodecTest, OwnersRecordsAreSmall) {
   OwnersRecord owners;
   for (uint32_t i = 0; i < 64; ++i) {
@@ -115,9 +118,9 @@
   EXPECT_LT(EncodeRecord(owners).size(), 64 * 8 + 8 * 28 + 64);
 }
 
-// Cut and changed bytes are refused with a typed error, or accepted; nothing
-// else happens.
-TEST(DecoderFuzzTest, ChangedBytesAreRefusedOrAccepted) {
+// Truncated or changed bytes are decoded or rejected with a typed error; a
+// decoder neither crashes nor throws anything else.
+TEST(DecoderFuzzTest, CorruptedBytesAreDecodedOrRejected) {
   std::minstd_rand random(7);
   LeaderDigest digest;
   digest.m_address = "10.0.0.1:7000";
@@ -158,14 +161,16 @@
   }
 }
 
-TEST(Base64Test, BytesComeBack) {
+TEST(Base64Test, BytesRoundTrip) {
   for (const std::string& bytes :
        {std::string(), std::string("a"), std::string("ab"), std::string("abc"),
         std::string("\0\xff\0", 3)}) {
     EXPECT_EQ(DecodeBase64(EncodeBase64(bytes)), bytes);
   }
-  EXPECT_EQ(CodeOf([] { DecodeBase64("abc"); }), ErrorCode::kMessageMalformed);
-  EXPECT_EQ(CodeOf([] { DecodeBase64("a*c="); }), ErrorCode::kMessageMalformed);
+  EXPECT_EQ(ErrorCodeOf([] { DecodeBase64("abc"); }),
+            ErrorCode::kMessageMalformed);
+  EXPECT_EQ(ErrorCodeOf([] { DecodeBase64("a*c="); }),
+            ErrorCode::kMessageMalformed);
 }
 
 HttpRequest GoodRequest() {
@@ -180,15 +185,15 @@
   return request;
 }
 
-TEST(PlatformFrontEndTest, TheKeyIsNotPassedOnAndTheWorkspaceIsNotTaken) {
-  const PlatformFrontEnd front;
+TEST(PlatformFrontEndTest, StripsApiKeyAndIgnoresClientsWorkspace) {
+  const PlatformFrontEnd front_end;
   const HttpRequest request = GoodRequest();
-  const ClientRequest decoded = front.Decode(request);
+  const ClientRequest decoded = front_end.Decode(request);
   EXPECT_EQ(decoded.m_path, "/x/1");
   EXPECT_EQ(decoded.m_shard_key, 17U);
   EXPECT_EQ(decoded.m_deadline, milliseconds(250));
   const HttpRequest sent =
-      front.ForServer(request, {"i-1", "w", milliseconds(200)});
+      front_end.ForServer(request, {"i-1", "w", milliseconds(200)});
   EXPECT_EQ(sent.m_target, request.m_target);
   EXPECT_FALSE(sent.m_headers.Get("X-Foxtailcart-Credential"));
   EXPECT_EQ(sent.m_headers.GetOr("X-Foxtailcart-Tenant", ""), "w");
@@ -196,31 +201,33 @@
   EXPECT_EQ(sent.m_headers.GetOr("X-Foxtailcart-Request-Deadline", ""), "200");
   HttpRequest twice = request;
   twice.m_headers.Add("X-Foxtailcart-Credential", "other");
-  EXPECT_EQ(CodeOf([&] { front.Decode(twice); }), ErrorCode::kRequestMalformed);
+  EXPECT_EQ(ErrorCodeOf([&] { front_end.Decode(twice); }),
+            ErrorCode::kRequestMalformed);
 }
 
-TEST(PlatformFrontEndTest, OnlyTheServersOwnCompleteAnswerCounts) {
-  const PlatformFrontEnd front;
-  const ClientRequest request = front.Decode(GoodRequest());
+TEST(PlatformFrontEndTest, AcceptsOnlyCompleteResponsesOfTheServer) {
+  const PlatformFrontEnd front_end;
+  const ClientRequest request = front_end.Decode(GoodRequest());
   const auto kind_of = [&](int status, const std::vector<HttpHeader>& headers) {
     HttpResponse response;
     response.m_status = status;
     for (const HttpHeader& header : headers) {
       response.m_headers.Add(header.m_name, header.m_value);
     }
-    return front.Judge(request, response).m_kind;
+    return front_end.Judge(request, response).m_kind;
   };
   const HttpHeader id{"X-Foxtailcart-Request-Id", "r1"};
   const HttpHeader other{"X-Foxtailcart-Request-Id", "r2"};
-  const HttpHeader stamp{"X-Foxtailcart-Response-Stamp", "s"};
+  const HttpHeader signature{"X-Foxtailcart-Response-Stamp", "s"};
   const HttpHeader not_run{"X-Foxtailcart-Not-Executed", "1"};
-  const HttpHeader coded{"Content-Encoding", "gzip"};
-  EXPECT_EQ(kind_of(200, {id, stamp}), AnswerKind::kAnswer);
-  EXPECT_EQ(kind_of(200, {other, stamp}), AnswerKind::kInvalid);
+  const HttpHeader content_encoding{"Content-Encoding", "gzip"};
+  EXPECT_EQ(kind_of(200, {id, signature}), AnswerKind::kAnswer);
+  EXPECT_EQ(kind_of(200, {other, signature}), AnswerKind::kInvalid);
   EXPECT_EQ(kind_of(200, {id}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(200, {stamp}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(200, {id, stamp, coded}), AnswerKind::kInvalid);
-  EXPECT_EQ(kind_of(500, {id, stamp}), AnswerKind::kAnswer);
+  EXPECT_EQ(kind_of(200, {signature}), AnswerKind::kInvalid);
+  EXPECT_EQ(kind_of(200, {id, signature, content_encoding}),
+            AnswerKind::kInvalid);
+  EXPECT_EQ(kind_of(500, {id, signature}), AnswerKind::kAnswer);
   EXPECT_EQ(kind_of(503, {id, not_run}), AnswerKind::kNotRun);
   EXPECT_EQ(kind_of(503, {id}), AnswerKind::kInvalid);
   EXPECT_EQ(kind_of(421, {}), AnswerKind::kMisdirected);
