--- a/src/control/assignment_system.cc
+++ b/src/control/assignment_system.cc
@@ -28,7 +28,7 @@
 
   void OnRead(const RowResponse& response) {
     m_state.m_store_call_in_flight = false;
-    if (response.m_result.m_outcome == RowOutcome::kNoAnswer) {
+    if (response.m_result.m_outcome == RowOutcome::kNoResponse) {
       m_state.m_next_store_call_at = m_now + kRetryDelay;
       return;
     }
--- a/src/control/config_system.cc
+++ b/src/control/config_system.cc
@@ -10,7 +10,7 @@
 }
 
 // The row of the confirmed plan holds the configuration document.
-RowKey DocumentKey(const VersionRecord& record) {
+RowKey DocumentKey(const CurrentConfigRecord& record) {
   return {"plan", record.m_plan};
 }
 
@@ -115,11 +115,12 @@
 void OnVersionRead(ControlContext& context, const RowResponse& response) {
   ControlTables& tables = context.m_tables;
   tables.m_config.m_store_call_in_flight = false;
-  if (response.m_result.m_outcome == RowOutcome::kNoAnswer) {
+  if (response.m_result.m_outcome == RowOutcome::kNoResponse) {
     return;
   }
   tables.m_config.m_last_poll_sent_at = response.m_sent_at;
-  const auto* record = std::get_if<VersionRecord>(&response.m_result.m_value);
+  const auto* record =
+      std::get_if<CurrentConfigRecord>(&response.m_result.m_value);
   if (!record) {
     ApplyConfiguration(context, 0, Configuration());
     return;
--- a/src/control/control_messages.h
+++ b/src/control/control_messages.h
@@ -7,7 +7,7 @@
 
 #include "control/control_tables.h"
 #include "core/event.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 
 namespace foxtail {
 
@@ -31,7 +31,7 @@
 /// A standby's response to a promise request, or a refusal if the call failed.
 struct PromiseResponse {
   CellId m_cell;
-  ControlInstance m_standby;
+  ControlProcess m_standby;
   uint64_t m_epoch = 0;
   bool m_given = false;
   TimePoint m_sent_at;
@@ -41,7 +41,7 @@
 struct ReceivedPromiseRequest {
   uint64_t m_handle = 0;
   std::string m_cell;
-  ControlInstance m_holder;
+  ControlProcess m_holder;
   uint64_t m_epoch = 0;
 };
 
@@ -78,7 +78,7 @@
 
 /// Another control process that responded.
 struct PeerResponse {
-  ControlInstance m_peer;
+  ControlProcess m_peer;
   std::string m_data_centre;
 };
 
@@ -115,7 +115,7 @@
 struct RequestPromiseCommand {
   CellId m_cell;
   std::string m_cell_name;
-  ControlInstance m_standby;
+  ControlProcess m_standby;
   uint64_t m_epoch = 0;
 };
 
--- a/src/control/control_tables.h
+++ b/src/control/control_tables.h
@@ -28,7 +28,7 @@
 
 /// Another control process.
 struct PeerRow {
-  ControlInstance m_process;
+  ControlProcess m_process;
   std::string m_data_centre;
   TimePoint m_last_seen_at;
 };
@@ -85,7 +85,7 @@
 
   /// Standbys that might take over, and until when each promised not to take
   /// over.
-  std::map<ControlInstance, TimePoint> m_promises;
+  std::map<ControlProcess, TimePoint> m_promises;
   TimePoint m_next_promise_round_at;
 
   /// Promises extend the authority beyond the last confirmed renewal.
@@ -294,7 +294,7 @@
 /// A dispatcher (one traffic thread of an entry) as one cell sees it.
 struct DispatcherRow {
   CellId m_cell;
-  DispatcherName m_identity;
+  DispatcherIdentity m_identity;
   std::string m_data_centre;
 
   TimePoint m_last_sync_at;
@@ -307,7 +307,7 @@
   uint64_t m_routes_version = 0;
   uint64_t m_config_version = 0;
   uint64_t m_applied_number = 0;
-  std::set<PartitionNumber> m_draining;
+  std::set<PartitionNumber> m_draining_partitions;
   std::set<std::string> m_draining_servers;
   bool m_shutting_down = false;
 };
@@ -320,7 +320,7 @@
 /// Deduplication state that a dispatcher handed over with a partition.
 struct DedupStateRow {
   CellId m_cell;
-  PartitionMemory m_dedup_state;
+  PartitionDedupState m_dedup_state;
   TimePoint m_retained_until;
 };
 
@@ -350,7 +350,7 @@
 /// All state of the control thread.
 struct ControlTables {
   ControlSettings m_settings;
-  ControlInstance m_self;
+  ControlProcess m_self;
   std::string m_data_centre;
   TimePoint m_started_at;
   bool m_shutting_down = false;
--- a/src/control/dispatcher_system.cc
+++ b/src/control/dispatcher_system.cc
@@ -61,7 +61,7 @@
     DispatcherRow& row = m_tables.m_dispatchers.Get(id);
     row.m_data_centre = request.m_data_centre;
     row.m_last_sync_at = std::max(row.m_last_sync_at, received.m_received_at);
-    row.m_shutting_down = row.m_shutting_down || request.m_leaving;
+    row.m_shutting_down = row.m_shutting_down || request.m_shutting_down;
     if (!was_known) {
       row.m_last_acknowledged_at = m_now;
     }
@@ -108,9 +108,9 @@
     row.m_control_epoch = request.m_control_epoch;
     row.m_routes_version = request.m_routes_version;
     row.m_applied_number = request.m_applied_number;
-    row.m_draining.clear();
-    for (const DrainingPartition& draining : request.m_draining) {
-      row.m_draining.insert(draining.m_number);
+    row.m_draining_partitions.clear();
+    for (const DrainingPartition& draining : request.m_draining_partitions) {
+      row.m_draining_partitions.insert(draining.m_number);
     }
     row.m_draining_servers = {request.m_draining_servers.begin(),
                               request.m_draining_servers.end()};
@@ -119,7 +119,7 @@
   // After a takeover, dispatchers report the servers that they hold and keep
   // them.
   void AdoptHeldServers(DispatcherId id, const SyncRequest& request) {
-    for (const std::string& name : request.m_held_servers) {
+    for (const std::string& name : request.m_leased_servers) {
       const auto found = m_cell.m_servers.find(name);
       if (found == m_cell.m_servers.end()) {
         continue;
@@ -149,7 +149,7 @@
     }
     const double weight =
         1 - std::exp(-ToSeconds(elapsed) / ToSeconds(kLoadAveragingTime));
-    for (const std::string& name : received.m_request.m_held_servers) {
+    for (const std::string& name : received.m_request.m_leased_servers) {
       const auto server = m_cell.m_servers.find(name);
       for (const auto& [number, id] : m_cell.m_partitions) {
         PartitionRow& partition = m_tables.m_partitions.Get(id);
@@ -170,14 +170,14 @@
       BackendServerRow& server = m_tables.m_servers.Get(found->second);
       server.m_in_flight = observation.m_in_flight;
       server.m_queued = observation.m_queued;
-      if (observation.m_lost > 0) {
+      if (observation.m_connection_failures > 0) {
         server.m_next_probe_at = m_now;
       }
     }
   }
 
   void StoreDedupStates(const SyncRequest& request) {
-    for (const PartitionMemory& dedup_state : request.m_memories) {
+    for (const PartitionDedupState& dedup_state : request.m_dedup_states) {
       EraseDedupState(dedup_state.m_number);
       m_tables.m_dedup_states.Insert(
           {m_cell_id, dedup_state, m_now + m_tables.m_settings.m_retention});
--- a/src/control/handover_system.cc
+++ b/src/control/handover_system.cc
@@ -72,7 +72,7 @@
           dispatcher->m_control_epoch == m_cell.m_lease.m_record.m_epoch &&
           dispatcher->m_routes_version >=
               m_partition.m_paused_in_routes_version &&
-          !dispatcher->m_draining.contains(m_partition.m_number);
+          !dispatcher->m_draining_partitions.contains(m_partition.m_number);
       if (!acknowledged) {
         return false;
       }
@@ -138,7 +138,7 @@
   // A partition that never had an owner has accepted no requests, so its
   // deduplication state is empty and complete.
   void AddEmptyDedupState() {
-    PartitionMemory dedup_state;
+    PartitionDedupState dedup_state;
     dedup_state.m_number = m_partition.m_number;
     m_tables.m_dedup_states.Insert({m_partition.m_cell, dedup_state,
                                     m_now + m_tables.m_settings.m_retention});
--- a/src/control/lease_system.cc
+++ b/src/control/lease_system.cc
@@ -22,7 +22,7 @@
   return {"lease", cell.m_name};
 }
 
-bool IsStandby(const LeaseRecord& record, const ControlInstance& self) {
+bool IsStandby(const LeaseRecord& record, const ControlProcess& self) {
   return std::ranges::find(record.m_standbys, self) != record.m_standbys.end();
 }
 
@@ -41,7 +41,7 @@
   void OnRead(const RowResponse& response) {
     m_lease.m_store_call_in_flight = false;
     m_lease.m_platform_responds =
-        response.m_result.m_outcome != RowOutcome::kNoAnswer;
+        response.m_result.m_outcome != RowOutcome::kNoResponse;
     if (!m_lease.m_platform_responds) {
       m_lease.m_next_store_call_at = m_now + kRetryDelay;
       return;
@@ -58,14 +58,14 @@
 
   void OnWritten(const RowResponse& response) {
     m_lease.m_store_call_in_flight = false;
-    if (response.m_result.m_outcome == RowOutcome::kNoAnswer) {
+    if (response.m_result.m_outcome == RowOutcome::kNoResponse) {
       m_lease.m_write_outcome_unknown = true;
       m_lease.m_platform_responds = false;
       m_lease.m_next_store_call_at = m_now + kRetryDelay;
       return;
     }
     m_lease.m_platform_responds = true;
-    if (response.m_result.m_outcome == RowOutcome::kMismatch) {
+    if (response.m_result.m_outcome == RowOutcome::kVersionMismatch) {
       // Either another process wrote the row first, or an earlier write of this
       // process took effect without a response. The next read resolves this.
       m_lease.m_write_outcome_unknown = true;
@@ -126,7 +126,8 @@
 
  private:
   void ApplyRow(const RowResponse& response) {
-    const bool missing = response.m_result.m_outcome == RowOutcome::kMismatch;
+    const bool missing =
+        response.m_result.m_outcome == RowOutcome::kVersionMismatch;
     const uint64_t version = missing ? 0 : response.m_result.m_version;
     if (m_lease.m_row_loaded && version == m_lease.m_row_version) {
       return;
@@ -228,7 +229,7 @@
   }
 
   void AddPossibleStandbys(const LeaseRecord& record) {
-    for (const ControlInstance& standby : record.m_standbys) {
+    for (const ControlProcess& standby : record.m_standbys) {
       m_lease.m_promises.try_emplace(standby, TimePoint());
     }
   }
--- a/src/control/publish_system.cc
+++ b/src/control/publish_system.cc
@@ -72,7 +72,7 @@
         return;
       }
       if (row.m_quarantined) {
-        routes->m_condemned.push_back(row.m_suspect.m_fingerprint);
+        routes->m_quarantined.push_back(row.m_suspect.m_fingerprint);
       } else {
         routes->m_suspects.push_back(row.m_suspect);
       }
@@ -111,7 +111,7 @@
     response.m_control_epoch = m_cell.m_lease.m_record.m_epoch;
     response.m_config_version = m_tables.m_config.m_version;
     response.m_number = ++m_cell.m_last_response_number;
-    response.m_authority_left = std::chrono::duration_cast<milliseconds>(
+    response.m_authority_ttl = std::chrono::duration_cast<milliseconds>(
         m_cell.m_lease.m_authority_until - m_now);
     if (m_cell.IsAccess()) {
       AddAccessView(pending, response);
@@ -139,13 +139,13 @@
       response.m_routes = m_cell.m_routes;
     }
     const ControlSettings& settings = m_tables.m_settings;
-    response.m_held_for = std::chrono::duration_cast<milliseconds>(
+    response.m_pending_for = std::chrono::duration_cast<milliseconds>(
         (m_now - pending.m_received_at) * (1.0 - settings.m_clock_drift));
     // A lease that ends soon after this controller's authority shortens a
     // successor's wait if both the controller and the dispatcher are lost.
-    response.m_lease = std::min(
+    response.m_lease_ttl = std::min(
         settings.m_dispatch_lease_ttl,
-        response.m_authority_left + settings.m_max_dispatch_lease_overrun);
+        response.m_authority_ttl + settings.m_max_dispatch_lease_overrun);
     for (const auto& [name, id] : m_cell.m_servers) {
       BackendServerRow& server = m_tables.m_servers.Get(id);
       if (server.m_dispatcher != pending.m_dispatcher ||
@@ -169,7 +169,7 @@
         return;
       }
       if (m_tables.m_partitions.Get(found->second).m_owner == server) {
-        response.m_memories.push_back(row.m_dedup_state);
+        response.m_dedup_states.push_back(row.m_dedup_state);
       }
     });
   }
--- a/src/control/standby_choice.cc
+++ b/src/control/standby_choice.cc
@@ -9,9 +9,8 @@
 
 constexpr std::chrono::milliseconds kPeerTimeout{3000};
 
-uint64_t RendezvousWeight(const CellRow& cell,
-                          const ControlInstance& instance) {
-  return FastHash(cell.m_name + "@" + instance.m_instance);
+uint64_t RendezvousWeight(const CellRow& cell, const ControlProcess& instance) {
+  return FastHash(cell.m_name + "@" + instance.m_incarnation);
 }
 
 std::vector<const PeerRow*> LivePeers(const ControlTables& tables,
@@ -42,9 +41,9 @@
 
 // Prefers processes in other data centres, so that the loss of this process's
 // data centre does not take the standbys with it.
-std::vector<ControlInstance> ChooseStandbys(const ControlTables& tables,
-                                            const CellRow& cell,
-                                            TimePoint now) {
+std::vector<ControlProcess> ChooseStandbys(const ControlTables& tables,
+                                           const CellRow& cell,
+                                           TimePoint now) {
   std::vector<const PeerRow*> peers = LivePeers(tables, now);
   std::ranges::sort(peers, [&](const PeerRow* a, const PeerRow* b) {
     const bool a_is_local = a->m_data_centre == tables.m_data_centre;
@@ -55,7 +54,7 @@
     return RendezvousWeight(cell, a->m_process) >
            RendezvousWeight(cell, b->m_process);
   });
-  std::vector<ControlInstance> chosen;
+  std::vector<ControlProcess> chosen;
   for (const PeerRow* peer : peers) {
     if (chosen.size() < tables.m_settings.m_standby_count) {
       chosen.push_back(peer->m_process);
--- a/src/control/standby_choice.h
+++ b/src/control/standby_choice.h
@@ -15,8 +15,8 @@
 
 /// Returns the processes that the lease of a cell should name as standbys, in
 /// ascending order.
-std::vector<ControlInstance> ChooseStandbys(const ControlTables& tables,
-                                            const CellRow& cell,
-                                            TimePoint now);
+std::vector<ControlProcess> ChooseStandbys(const ControlTables& tables,
+                                           const CellRow& cell,
+                                           TimePoint now);
 
 }  // namespace foxtail
--- a/src/control/token_system.cc
+++ b/src/control/token_system.cc
@@ -18,7 +18,7 @@
   for (const ReceivedTokenRequest& received :
        context.m_inbox.m_token_requests) {
     TokenResponse response;
-    response.m_lifetime = tables.m_settings.m_token_ttl;
+    response.m_token_ttl = tables.m_settings.m_token_ttl;
     response.m_status =
         is_controller ? SyncStatus::kOk : SyncStatus::kNotController;
     if (!is_controller && cell) {
--- a/src/core/settings.cc
+++ b/src/core/settings.cc
@@ -12,22 +12,22 @@
 namespace foxtail {
 namespace {
 
-[[noreturn]] void Refuse(const std::string& name,
-                         const std::string& value,
-                         const std::string& allowed) {
+[[noreturn]] void ThrowInvalid(const std::string& name,
+                               const std::string& value,
+                               const std::string& allowed) {
   throw Error(ErrorCode::kSettingInvalid,
               fmt::format("{} = '{}'; allowed: {}", name, value, allowed));
 }
 
-std::string RangeOf(const SettingSpec& spec) {
+std::string AllowedValues(const SettingSpec& spec) {
   if (spec.m_is_text) {
-    return fmt::format("{} to {} characters", spec.m_low, spec.m_high);
+    return fmt::format("{} to {} characters", spec.m_min, spec.m_max);
   }
-  return fmt::format("a whole number from {} to {} ({})", spec.m_low,
-                     spec.m_high, spec.m_unit);
+  return fmt::format("a whole number from {} to {} ({})", spec.m_min,
+                     spec.m_max, spec.m_unit);
 }
 
-void Check(const SettingSpec& spec, const std::string& source) {
+void CheckValue(const SettingSpec& spec, const std::string& source) {
   const std::string& value = spec.m_value;
   uint64_t measure = value.size();
   if (!spec.m_is_text) {
@@ -35,11 +35,11 @@
         std::from_chars(value.data(), value.data() + value.size(), measure);
     if (value.empty() || result.ec != std::errc() ||
         result.ptr != value.data() + value.size()) {
-      Refuse(source, value, RangeOf(spec));
+      ThrowInvalid(source, value, AllowedValues(spec));
     }
   }
-  if (measure < spec.m_low || measure > spec.m_high) {
-    Refuse(source, value, RangeOf(spec));
+  if (measure < spec.m_min || measure > spec.m_max) {
+    ThrowInvalid(source, value, AllowedValues(spec));
   }
 }
 
@@ -57,7 +57,7 @@
     const auto spec = std::ranges::find(specs, name, &SettingSpec::m_variable);
     const std::string value(entry.substr(equals + 1));
     if (spec == specs.end()) {
-      Refuse(std::string(name), value, "a variable listed by --help");
+      ThrowInvalid(std::string(name), value, "a variable listed by --help");
     }
     spec->m_value = value;
     sources[static_cast<size_t>(spec - specs.begin())] = name;
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-SettingsRequest ReadSettings(int argc,
-                             const char* const* argv,
-                             const char* const* environment,
-                             const std::string& prefix,
-                             std::vector<SettingSpec>& specs) {
+RunMode ReadSettings(int argc,
+                     const char* const* argv,
+                     const char* const* environment,
+                     const std::string& prefix,
+                     std::vector<SettingSpec>& specs) {
   std::vector<std::string> sources(specs.size());
   ReadEnvironment(environment, prefix, specs, sources);
   TCLAP::CmdLine line("", ' ', "", false);
@@ -85,19 +85,21 @@
   try {
     line.parse(argc, argv);
   } catch (const TCLAP::ArgException& failure) {
-    Refuse(failure.argId(), failure.error(), "the flags listed by --help");
+    ThrowInvalid(failure.argId(), failure.error(),
+                 "the flags listed by --help");
   }
   if (help.getValue()) {
-    return SettingsRequest::kHelp;
+    return RunMode::kHelp;
   }
   for (size_t i = 0; i < specs.size(); ++i) {
     if (arguments[i]->isSet()) {
       specs[i].m_value = arguments[i]->getValue();
       sources[i] = "--" + specs[i].m_flag;
     }
-    Check(specs[i], sources[i].empty() ? "--" + specs[i].m_flag : sources[i]);
+    CheckValue(specs[i],
+               sources[i].empty() ? "--" + specs[i].m_flag : sources[i]);
   }
-  return check.getValue() ? SettingsRequest::kCheck : SettingsRequest::kRun;
+  return check.getValue() ? RunMode::kCheck : RunMode::kRun;
 }
 
 std::string SettingsHelp(const std::string& program,
@@ -112,7 +114,7 @@
         "  --{} <{}>\n      {}\n      variable {}; default {}; "
         "{}\n",
         spec.m_flag, spec.m_unit, spec.m_brief, spec.m_variable,
-        spec.m_default.empty() ? "none" : spec.m_default, RangeOf(spec));
+        spec.m_default.empty() ? "none" : spec.m_default, AllowedValues(spec));
   }
   return text;
 }
@@ -125,7 +127,7 @@
     text += fmt::format("| `--{}` | `{}` | {} | {} | {} to {} | {} |\n",
                         spec.m_flag, spec.m_variable,
                         spec.m_default.empty() ? "none" : spec.m_default,
-                        spec.m_unit, spec.m_low, spec.m_high, spec.m_brief);
+                        spec.m_unit, spec.m_min, spec.m_max, spec.m_brief);
   }
   return text;
 }
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -53,8 +53,8 @@
 }  // namespace
 
 ControlLoop::ControlLoop(const DaemonSettings& settings,
-                         ControlInstance self,
-                         PlatformStore& store,
+                         ControlProcess self,
+                         RecordRepository& store,
                          EventLog& events)
     : m_settings(settings),
       m_store(store),
@@ -124,7 +124,7 @@
       RowResponse response{read.m_purpose, read.m_cell, false, {}, sent};
       response.m_result = m_store.Read(read.m_key);
       RecordPlatformResponse(response.m_result.m_outcome !=
-                             RowOutcome::kNoAnswer);
+                             RowOutcome::kNoResponse);
       m_inbox.m_row_responses.push_back(std::move(response));
       m_input_arrived.Notify();
     });
@@ -135,7 +135,7 @@
       response.m_result =
           m_store.Write(write.m_key, write.m_if_version, write.m_value);
       RecordPlatformResponse(response.m_result.m_outcome !=
-                             RowOutcome::kNoAnswer);
+                             RowOutcome::kNoResponse);
       m_inbox.m_row_responses.push_back(std::move(response));
       m_input_arrived.Notify();
     });
@@ -249,7 +249,7 @@
 }
 
 bool ControlLoop::HandlePromiseRequest(const std::string& cell,
-                                       const ControlInstance& holder,
+                                       const ControlProcess& holder,
                                        uint64_t epoch) {
   const uint64_t handle = ++m_last_handle;
   auto response = m_pending_promises[handle].get_future();
@@ -258,7 +258,7 @@
   return response.get();
 }
 
-void ControlLoop::RecordPeer(const ControlInstance& peer,
+void ControlLoop::RecordPeer(const ControlProcess& peer,
                              const std::string& data_centre) {
   m_inbox.m_peer_responses.push_back({peer, data_centre});
 }
--- a/src/daemon/control_loop.h
+++ b/src/daemon/control_loop.h
@@ -11,7 +11,7 @@
 #include "daemon/daemon_settings.h"
 #include "runtime/fiber_event.h"
 #include "runtime/http_client.h"
-#include "store/platform_store.h"
+#include "store/record_repository.h"
 
 namespace foxtail {
 
@@ -21,8 +21,8 @@
 class ControlLoop {
  public:
   ControlLoop(const DaemonSettings& settings,
-              ControlInstance self,
-              PlatformStore& store,
+              ControlProcess self,
+              RecordRepository& store,
               EventLog& events);
 
   /// Runs ticks until `BeginShutdown` was called and all leases are released.
@@ -42,11 +42,11 @@
   /// Handles a lease holder's promise request; the calling fiber waits for the
   /// result. Returns whether the promise is given.
   bool HandlePromiseRequest(const std::string& cell,
-                            const ControlInstance& holder,
+                            const ControlProcess& holder,
                             uint64_t epoch);
 
   /// Records another control process that responded.
-  void RecordPeer(const ControlInstance& peer, const std::string& data_centre);
+  void RecordPeer(const ControlProcess& peer, const std::string& data_centre);
 
   /// Reads the configuration again without waiting for the next poll.
   void PollConfig();
@@ -80,7 +80,7 @@
                                Commands& commands);
 
   const DaemonSettings& m_settings;
-  PlatformStore& m_store;
+  RecordRepository& m_store;
   EventLog& m_events;
   HttpClient m_client;
   ControlTables m_tables;
--- a/src/daemon/control_rpc.cc
+++ b/src/daemon/control_rpc.cc
@@ -90,7 +90,7 @@
   Respond(result, [&] {
     const ControlTables& tables = m_loop.GetTables();
     Json::Value self;
-    self["instance"] = tables.m_self.m_instance;
+    self["instance"] = tables.m_self.m_incarnation;
     self["address"] = tables.m_self.m_address;
     self["data_centre"] = tables.m_data_centre;
     return self;
@@ -100,7 +100,7 @@
 void ControlRpc::Promise(const Json::Value& parameters, Json::Value& result) {
   Respond(result, [&] {
     const bool for_this_process = parameters["standby"].asString() ==
-                                  m_loop.GetTables().m_self.m_instance;
+                                  m_loop.GetTables().m_self.m_incarnation;
     return Json::Value(
         for_this_process &&
         m_loop.HandlePromiseRequest(parameters["cell"].asString(),
--- a/src/daemon/control_rpc_client.cc
+++ b/src/daemon/control_rpc_client.cc
@@ -51,15 +51,15 @@
 }
 
 bool ControlRpcClient::RequestPromise(const RequestPromiseCommand& command,
-                                      const ControlInstance& self) const {
+                                      const ControlProcess& self) const {
   Json::Value parameters;
   parameters["cell"] = command.m_cell_name;
-  parameters["instance"] = self.m_instance;
+  parameters["instance"] = self.m_incarnation;
   parameters["address"] = self.m_address;
   parameters["epoch"] = Json::Int64(command.m_epoch);
   // The promise counts only for this incarnation of the standby: a restarted
   // standby must not give it.
-  parameters["standby"] = command.m_standby.m_instance;
+  parameters["standby"] = command.m_standby.m_incarnation;
   return Call(command.m_standby.m_address, "promise", parameters).asBool();
 }
 
--- a/src/daemon/control_rpc_client.h
+++ b/src/daemon/control_rpc_client.h
@@ -25,7 +25,7 @@
   /// Requests a standby's promise for the lease holder `self`; returns whether
   /// the promise was given.
   bool RequestPromise(const RequestPromiseCommand& command,
-                      const ControlInstance& self) const;
+                      const ControlProcess& self) const;
 
   /// Returns the identity and data centre of another control process.
   PeerResponse Hello(const std::string& address) const;
--- a/src/daemon/operator_service.cc
+++ b/src/daemon/operator_service.cc
@@ -29,11 +29,11 @@
 
 // Reads a row; retries after a jittered delay while the platform doesn't
 // respond.
-RowResult ReadOrThrow(PlatformStore& store, const RowKey& key) {
+RowResult ReadOrThrow(RecordRepository& store, const RowKey& key) {
   static thread_local std::minstd_rand random{std::random_device{}()};
   for (int i = 0; i < kMaxAttempts; ++i) {
     RowResult result = store.Read(key);
-    if (result.m_outcome != RowOutcome::kNoAnswer) {
+    if (result.m_outcome != RowOutcome::kNoResponse) {
       return result;
     }
     std::uniform_int_distribution<int64_t> jitter(kMaxRetryDelay.count() / 2,
@@ -65,7 +65,7 @@
 }  // namespace
 
 OperatorService::OperatorService(ControlLoop& loop,
-                                 PlatformStore& store,
+                                 RecordRepository& store,
                                  EventLog& events)
     : m_loop(loop), m_store(store), m_events(events) {}
 
@@ -73,7 +73,7 @@
   const RowResult result = ReadOrThrow(m_store, CurrentKey());
   CurrentVersion current;
   current.m_row_version = result.m_version;
-  if (const auto* record = std::get_if<VersionRecord>(&result.m_value)) {
+  if (const auto* record = std::get_if<CurrentConfigRecord>(&result.m_value)) {
     current.m_record = *record;
   }
   return current;
@@ -144,7 +144,7 @@
   }
   EstimateCost(BoundedLoadPlacement(kPlacementBound), assignments, plan);
   const RowResult written = m_store.Write(PlanKey(plan.m_id), 0, plan);
-  if (written.m_outcome == RowOutcome::kNoAnswer) {
+  if (written.m_outcome == RowOutcome::kNoResponse) {
     // The id is new, so reading the row shows whether the write took effect.
     uint64_t row_version = 0;
     plan = ReadPlan(plan.m_id, row_version);
@@ -205,7 +205,7 @@
     if (current.m_record.m_version != plan.m_base_version) {
       ThrowStale(plan);
     }
-    VersionRecord next;
+    CurrentConfigRecord next;
     next.m_version = plan.m_base_version + 1;
     next.m_plan = id;
     next.m_confirmed_ms = WallNow().time_since_epoch().count();
--- a/src/daemon/status_report.cc
+++ b/src/daemon/status_report.cc
@@ -118,7 +118,7 @@
 
 Json::Value BuildStatusReport(const ControlTables& tables, TimePoint now) {
   Json::Value report;
-  report["instance"] = tables.m_self.m_instance;
+  report["instance"] = tables.m_self.m_incarnation;
   report["address"] = tables.m_self.m_address;
   report["data_centre"] = tables.m_data_centre;
   report["configuration"] = Json::UInt64(tables.m_config.m_version);
--- a/src/entry/client_handler.cc
+++ b/src/entry/client_handler.cc
@@ -263,7 +263,7 @@
       PartitionOfKey(routes.m_service, context.m_partition_key);
   const RoutePartition* partition =
       FindPartition(routes, context.m_query.m_partition);
-  if (!partition || partition->m_held) {
+  if (!partition || partition->m_paused) {
     return false;
   }
   context.m_dispatcher_address =
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -82,7 +82,7 @@
 bool EntryControl::SendReport(Reporter& reporter) {
   TrafficThread& thread = *m_threads[reporter.m_thread];
   SyncRequest report = thread.BuildReport(reporter.m_cell);
-  report.m_leaving = m_shutting_down;
+  report.m_shutting_down = m_shutting_down;
   const HttpRequest http_request = ClusterRequest(
       "/sync", m_settings.m_cluster_secret, EncodeMessage(report));
   const TimePoint sent = Clock::now();
--- a/src/entry/forwarding.cc
+++ b/src/entry/forwarding.cc
@@ -146,8 +146,9 @@
   headers.Set(kWorkspaceHeader, query.m_workspace);
   headers.Set(kWeightHeader, std::to_string(query.m_weight));
   headers.Set(kRequestIdHeader, query.m_id.m_text);
-  headers.Set(kIssuedHeader,
-              std::to_string(query.m_id.m_issued.time_since_epoch().count()));
+  headers.Set(
+      kIssuedHeader,
+      std::to_string(query.m_id.m_issued_at.time_since_epoch().count()));
   headers.Set(kIdempotentHeader, query.m_idempotent ? "1" : "0");
   headers.Set(kFreshHeader, query.m_fresh ? "1" : "0");
   headers.Set(kDeadlineHeader,
@@ -163,7 +164,7 @@
   query.m_workspace = request.m_headers.GetOr(kWorkspaceHeader, "");
   query.m_weight = ParseNumberHeader<uint32_t>(request, kWeightHeader);
   query.m_id.m_text = request.m_headers.GetOr(kRequestIdHeader, "");
-  query.m_id.m_issued = WallTime(
+  query.m_id.m_issued_at = WallTime(
       milliseconds(ParseNumberHeader<int64_t>(request, kIssuedHeader)));
   query.m_idempotent = ParseNumberHeader<int>(request, kIdempotentHeader) != 0;
   query.m_fresh = ParseNumberHeader<int>(request, kFreshHeader) != 0;
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 TokenClient::TokenClient(TokenBudget& budget,
-                         DispatcherName identity,
+                         DispatcherIdentity identity,
                          std::vector<std::string> control_processes,
                          std::string cluster_secret,
                          Duration token_wait)
@@ -110,7 +110,7 @@
   m_budget.OnGrants(response, sent);
   double missing = 0;
   for (const TokenDemand& demand : request.m_demands) {
-    missing += demand.m_wanted;
+    missing += demand.m_requested;
   }
   for (const TokenGrant& grant : response.m_grants) {
     missing -= grant.m_tokens;
--- a/src/entry/token_client.h
+++ b/src/entry/token_client.h
@@ -18,7 +18,7 @@
   /// be the issuer. `token_wait`: how long a request waits for a token that the
   /// issuer denied.
   TokenClient(TokenBudget& budget,
-              DispatcherName identity,
+              DispatcherIdentity identity,
               std::vector<std::string> control_processes,
               std::string cluster_secret,
               Duration token_wait);
@@ -38,7 +38,7 @@
   void BackOffIfAllTried();
 
   TokenBudget& m_budget;
-  DispatcherName m_identity;
+  DispatcherIdentity m_identity;
   std::string m_cluster_secret;
   Duration m_token_wait;
   HttpClient m_client;
--- a/src/entry/traffic_thread.cc
+++ b/src/entry/traffic_thread.cc
@@ -236,7 +236,7 @@
     const bool older = response.m_control_epoch < m_access_epoch ||
                        response.m_config_version < m_access_version;
     if (response.m_status != SyncStatus::kOk || older ||
-        now.m_steady >= sent + response.m_authority_left) {
+        now.m_steady >= sent + response.m_authority_ttl) {
       return;
     }
     if (response.m_access) {
--- a/src/entry/traffic_thread.h
+++ b/src/entry/traffic_thread.h
@@ -58,7 +58,7 @@
   /// all requests were completed within `timeout`.
   bool Stop(Duration timeout);
 
-  const DispatcherName& GetIdentity() const { return m_identity; }
+  const DispatcherIdentity& GetIdentity() const { return m_identity; }
 
  private:
   class Core;
@@ -72,7 +72,7 @@
   uint32_t m_index;
   EventLog& m_events;
   std::function<void(uint32_t, const std::string&)> m_trigger_report;
-  DispatcherName m_identity;
+  DispatcherIdentity m_identity;
   Mailbox m_mailbox;
   Core* m_core = nullptr;
   std::thread m_thread;
--- a/src/gateway/leadership_system.cc
+++ b/src/gateway/leadership_system.cc
@@ -267,9 +267,10 @@
   // After a version mismatch, either another process wrote the row or an
   // earlier write of this process took effect late. Without a response the
   // write may still take effect. Reading the row settles it.
-  lease.m_write_outcome_unknown = result.m_outcome == StoreOutcome::kMismatch ||
-                                  result.m_outcome == StoreOutcome::kUnknown;
-  if (result.m_outcome == StoreOutcome::kMismatch) {
+  lease.m_write_outcome_unknown =
+      result.m_outcome == StoreOutcome::kVersionMismatch ||
+      result.m_outcome == StoreOutcome::kUnknown;
+  if (result.m_outcome == StoreOutcome::kVersionMismatch) {
     lease.m_next_store_call_at = now.m_steady;
   }
   if (lease.m_phase == LeaderLeasePhase::kAcquiring &&
--- a/src/gateway/owners_system.cc
+++ b/src/gateway/owners_system.cc
@@ -182,7 +182,7 @@
   }
   service->m_dirty = true;
   service->m_write_outcome_unknown =
-      result.m_outcome == StoreOutcome::kMismatch ||
+      result.m_outcome == StoreOutcome::kVersionMismatch ||
       result.m_outcome == StoreOutcome::kUnknown;
   service->m_next_store_call_at =
       now.m_steady + tables.m_settings.m_store_retry_delay;
--- a/src/messages/token_archive.h
+++ b/src/messages/token_archive.h
@@ -4,12 +4,12 @@
 
 namespace foxtail {
 
-// How the archives of the codecs take tokens; found by argument-dependent
-// lookup.
+// Serialisation of token messages, shared by several codecs. cereal finds these
+// functions by argument-dependent lookup.
 
 template <typename Archive>
 void serialize(Archive& archive, TokenDemand& m) {  // NOLINT
-  archive(m.m_workspace, m.m_spent, m.m_returned, m.m_wanted, m.m_waiting);
+  archive(m.m_workspace, m.m_spent, m.m_returned, m.m_requested, m.m_waiting);
 }
 
 template <typename Archive>
--- a/src/store/record_json.cc
+++ b/src/store/record_json.cc
@@ -6,14 +6,14 @@
 namespace foxtail {
 namespace {
 
-Json::Value Encode(const ControlInstance& instance) {
+Json::Value Encode(const ControlProcess& process) {
   Json::Value value;
-  value["instance"] = instance.m_instance;
-  value["address"] = instance.m_address;
+  value["instance"] = process.m_incarnation;
+  value["address"] = process.m_address;
   return value;
 }
 
-ControlInstance DecodeInstance(const Json::Value& value) {
+ControlProcess DecodeProcess(const Json::Value& value) {
   return {value["instance"].asString(), value["address"].asString()};
 }
 
@@ -28,7 +28,7 @@
     value["renewals"] = Json::UInt64(record.m_renewals);
     value["released"] = record.m_released;
     value["standbys"] = Json::Value(Json::arrayValue);
-    for (const ControlInstance& standby : record.m_standbys) {
+    for (const ControlProcess& standby : record.m_standbys) {
       value["standbys"].append(Encode(standby));
     }
     return value;
@@ -51,7 +51,7 @@
     return value;
   }
 
-  Json::Value operator()(const VersionRecord& record) const {
+  Json::Value operator()(const CurrentConfigRecord& record) const {
     Json::Value value;
     value["kind"] = "version";
     value["version"] = Json::UInt64(record.m_version);
@@ -80,22 +80,22 @@
 };
 
 Configuration DecodeConfiguration(const Json::Value& document) {
-  std::vector<ValidationError> faults;
-  Configuration configuration = ConfigurationFromJson(document, faults);
-  if (!faults.empty()) {
-    throw Error(ErrorCode::kMessageMalformed, faults.front().m_path);
+  std::vector<ValidationError> errors;
+  Configuration configuration = ConfigurationFromJson(document, errors);
+  if (!errors.empty()) {
+    throw Error(ErrorCode::kMessageMalformed, errors.front().m_path);
   }
   return configuration;
 }
 
 RecordValue DecodeLease(const Json::Value& value) {
   LeaseRecord record;
-  record.m_holder = DecodeInstance(value["holder"]);
+  record.m_holder = DecodeProcess(value["holder"]);
   record.m_epoch = value["epoch"].asUInt64();
   record.m_renewals = value["renewals"].asUInt64();
   record.m_released = value["released"].asBool();
   for (const Json::Value& standby : value["standbys"]) {
-    record.m_standbys.push_back(DecodeInstance(standby));
+    record.m_standbys.push_back(DecodeProcess(standby));
   }
   return record;
 }
@@ -112,8 +112,9 @@
 }
 
 RecordValue DecodeVersion(const Json::Value& value) {
-  return VersionRecord{value["version"].asUInt64(), value["plan"].asString(),
-                       value["confirmed_ms"].asInt64()};
+  return CurrentConfigRecord{value["version"].asUInt64(),
+                             value["plan"].asString(),
+                             value["confirmed_ms"].asInt64()};
 }
 
 RecordValue DecodePlan(const Json::Value& value) {
--- a/src/store/platform_store.h
+++ b/src/store/record_repository.h
@@ -8,7 +8,7 @@
 
 namespace foxtail {
 
-/// Names one row of the platform's table service.
+/// Key of one row in the table store.
 struct RowKey {
   std::string m_table;
   std::string m_key;
@@ -16,31 +16,32 @@
   auto operator<=>(const RowKey&) const = default;
 };
 
-/// How a read or write ended.
+/// Outcome of a read or write.
 enum class RowOutcome {
   kDone,
   /// The row is missing (read) or has another version (write).
-  kMismatch,
-  /// No answer: a write may or may not have taken effect.
-  kNoAnswer,
+  kVersionMismatch,
+  /// No usable response: a write may or may not have taken effect.
+  kNoResponse,
 };
 
 /// Result of a read or write. `m_version` is 0 for a missing row.
 struct RowResult {
-  RowOutcome m_outcome = RowOutcome::kNoAnswer;
+  RowOutcome m_outcome = RowOutcome::kNoResponse;
   uint64_t m_version = 0;
   RecordValue m_value;
 };
 
-/// The platform's transactional table service, as the project uses it.
-class PlatformStore {
+/// Reads and writes typed records in the platform's table store.
+class RecordRepository {
  public:
-  virtual ~PlatformStore() = default;
+  virtual ~RecordRepository() = default;
 
-  /// Reads a row.
+  /// Reads and decodes a row.
   virtual RowResult Read(const RowKey& key) = 0;
 
-  /// Writes a row if it still has `if_version` (0: only if it is missing).
+  /// Writes a row if its version is still `if_version` (0: only if the row is
+  /// missing).
   virtual RowResult Write(const RowKey& key,
                           uint64_t if_version,
                           const RecordValue& value) = 0;
--- a/src/traffic/concurrency_limit.cc
+++ b/src/traffic/concurrency_limit.cc
@@ -48,8 +48,8 @@
 }
 
 void RampLimit::OnResponse(const std::string& instance, Duration latency) {
-  if (m_instance != instance) {
-    m_instance = instance;
+  if (m_incarnation != instance) {
+    m_incarnation = instance;
     BecomeCold();
   }
   const double ratio =
--- a/src/traffic/concurrency_limit.h
+++ b/src/traffic/concurrency_limit.h
@@ -88,7 +88,7 @@
   bool ExceedsBaseline(Duration latency, double ratio) const;
 
   RampSettings m_settings;
-  std::string m_instance;
+  std::string m_incarnation;
   uint32_t m_current_limit = 1;
   uint32_t m_step_responses = 0;
   uint32_t m_slow_streak = 0;
--- a/src/traffic/dedup_registry.cc
+++ b/src/traffic/dedup_registry.cc
@@ -6,7 +6,7 @@
 namespace foxtail {
 
 DedupRegistry::DedupRegistry(WallTime known_since, Duration retention)
-    : m_known_since(known_since), m_id_retention(retention) {}
+    : m_complete_since(known_since), m_id_retention(retention) {}
 
 uint64_t DedupRegistry::HashOf(const RequestId& id) {
   return FastHash(id.m_text);
@@ -20,10 +20,11 @@
   const auto oldest =
       now -
       std::chrono::duration_cast<std::chrono::milliseconds>(m_id_retention);
-  if (!fresh && (id.m_issued < m_known_since || id.m_issued < oldest)) {
+  if (!fresh &&
+      (id.m_issued_at < m_complete_since || id.m_issued_at < oldest)) {
     throw Error(ErrorCode::kRequestUnverifiable, id.m_text);
   }
-  m_issued_times.emplace(hash, id.m_issued);
+  m_issued_times.emplace(hash, id.m_issued_at);
 }
 
 void DedupRegistry::Forget(const RequestId& id) {
@@ -38,20 +39,20 @@
                 [&](const auto& entry) { return entry.second < oldest; });
 }
 
-PartitionMemory DedupRegistry::Export(PartitionNumber number) const {
-  PartitionMemory state;
+PartitionDedupState DedupRegistry::Export(PartitionNumber number) const {
+  PartitionDedupState state;
   state.m_number = number;
-  state.m_known_since = m_known_since.time_since_epoch();
+  state.m_complete_since = m_complete_since.time_since_epoch();
   for (const auto& [hash, issued] : m_issued_times) {
-    state.m_seen.push_back({hash, issued.time_since_epoch()});
+    state.m_accepted.push_back({hash, issued.time_since_epoch()});
   }
   return state;
 }
 
-void DedupRegistry::Import(const PartitionMemory& state) {
-  m_known_since = WallTime(state.m_known_since);
-  for (const SeenRequest& seen : state.m_seen) {
-    m_issued_times.emplace(seen.m_hash, WallTime(seen.m_issued));
+void DedupRegistry::Import(const PartitionDedupState& state) {
+  m_complete_since = WallTime(state.m_complete_since);
+  for (const AcceptedRequest& seen : state.m_accepted) {
+    m_issued_times.emplace(seen.m_hash, WallTime(seen.m_issued_at));
   }
 }
 
--- a/src/traffic/dedup_registry.h
+++ b/src/traffic/dedup_registry.h
@@ -29,11 +29,11 @@
   void Expire(WallTime now);
 
   /// Returns the state for the partition's next dispatcher.
-  PartitionMemory Export(PartitionNumber number) const;
+  PartitionDedupState Export(PartitionNumber number) const;
 
   /// Adds the ids of the partition's previous dispatcher and adopts its
   /// `known_since`.
-  void Import(const PartitionMemory& state);
+  void Import(const PartitionDedupState& state);
 
   /// Returns the hash under which an id is stored.
   static uint64_t HashOf(const RequestId& id);
@@ -41,7 +41,7 @@
   size_t size() const { return m_issued_times.size(); }
 
  private:
-  WallTime m_known_since;
+  WallTime m_complete_since;
   Duration m_id_retention;
   std::unordered_map<uint64_t, WallTime> m_issued_times;
 };
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -36,7 +36,7 @@
     return nullptr;
   }
   const RoutePartition* partition = FindPartition(*cell.m_routes, number);
-  if (!partition || partition->m_held ||
+  if (!partition || partition->m_paused ||
       cell.m_routes->m_servers[partition->m_server].m_name != server) {
     return nullptr;
   }
@@ -49,7 +49,7 @@
     return {};
   }
   const RoutePartition* partition = FindPartition(*cell.m_routes, number);
-  if (!partition || partition->m_held) {
+  if (!partition || partition->m_paused) {
     return {};
   }
   const auto found =
@@ -62,7 +62,7 @@
                            TimePoint sent_at,
                            const Now& now) {
   if (response.m_status != SyncStatus::kOk ||
-      now.m_steady >= sent_at + response.m_authority_left) {
+      now.m_steady >= sent_at + response.m_authority_ttl) {
     return false;
   }
   TrafficCellId id = FindCell(m_tables, name);
@@ -107,8 +107,8 @@
   for (const CrashSuspect& suspect : response.m_routes->m_suspects) {
     cell.m_suspects.emplace(suspect.m_fingerprint, suspect);
   }
-  cell.m_quarantined = {response.m_routes->m_condemned.begin(),
-                        response.m_routes->m_condemned.end()};
+  cell.m_quarantined = {response.m_routes->m_quarantined.begin(),
+                        response.m_routes->m_quarantined.end()};
 }
 
 void DispatchSystem::ApplyLeases(TrafficCellId id,
@@ -133,8 +133,9 @@
       server_id = m_tables.m_servers.Insert(std::move(row));
     }
     DispatchServerRow& server = m_tables.m_servers.Get(server_id);
-    server.m_lease_until = std::max(
-        server.m_lease_until, sent_at + response.m_held_for + response.m_lease);
+    server.m_lease_until =
+        std::max(server.m_lease_until,
+                 sent_at + response.m_pending_for + response.m_lease_ttl);
   }
 }
 
@@ -168,7 +169,7 @@
       continue;
     }
     DedupRegistry registry(complete_since, m_settings.m_id_retention);
-    for (const PartitionMemory& state : response.m_memories) {
+    for (const PartitionDedupState& state : response.m_dedup_states) {
       if (state.m_number == number) {
         registry.Import(state);
       }
@@ -203,7 +204,7 @@
     DispatchServerRow& server = m_tables.m_servers.Get(id);
     const bool lease_valid = now.m_steady < server.m_lease_until;
     if (lease_valid) {
-      request.m_held_servers.push_back(server_name);
+      request.m_leased_servers.push_back(server_name);
     }
     request.m_observations.push_back(
         {server_name, server.m_running,
@@ -221,7 +222,7 @@
     }
     if (IsDraining(row)) {
       draining.insert(row.m_partition);
-      request.m_draining.push_back({row.m_partition, row.m_epoch});
+      request.m_draining_partitions.push_back({row.m_partition, row.m_epoch});
     }
     if (now.m_steady >= server.m_lease_until) {
       draining_servers.insert(server.m_name);
@@ -233,7 +234,7 @@
   // flight is known.
   for (const auto& [number, state] : cell->m_dedup_states) {
     if (!draining.contains(number)) {
-      request.m_memories.push_back(state);
+      request.m_dedup_states.push_back(state);
     }
   }
   request.m_suspects = std::move(cell->m_new_suspects);
@@ -245,7 +246,7 @@
 void DispatchSystem::OnReportAcknowledged(const SyncRequest& request) {
   if (TrafficCellRow* cell =
           m_tables.m_cells.Find(FindCell(m_tables, request.m_cell))) {
-    for (const PartitionMemory& state : request.m_memories) {
+    for (const PartitionDedupState& state : request.m_dedup_states) {
       cell->m_dedup_states.erase(state.m_number);
     }
   }
@@ -316,7 +317,7 @@
   }
   const auto state = cell->m_dedup_states.find(query.m_partition);
   if (state != cell->m_dedup_states.end()) {
-    std::erase_if(state->second.m_seen, [&](const SeenRequest& seen) {
+    std::erase_if(state->second.m_accepted, [&](const AcceptedRequest& seen) {
       return seen.m_hash == DedupRegistry::HashOf(query.m_id);
     });
   }
--- a/src/traffic/request_id.h
+++ b/src/traffic/request_id.h
@@ -13,7 +13,7 @@
 /// with the same id.
 struct RequestId {
   std::string m_text;
-  WallTime m_issued;
+  WallTime m_issued_at;
 };
 
 /// Parses an id. Throws `Error(kRequestIdMalformed)` if the form is wrong or if
--- a/src/traffic/token_budget.cc
+++ b/src/traffic/token_budget.cc
@@ -154,13 +154,13 @@
     if (surplus > 0) {
       demand.m_returned = ReclaimTokens(row, std::floor(surplus));
     } else {
-      demand.m_wanted = -surplus;
+      demand.m_requested = -surplus;
       demand.m_waiting =
-          std::min(demand.m_wanted, static_cast<double>(row.m_waiting));
+          std::min(demand.m_requested, static_cast<double>(row.m_waiting));
     }
     row.m_unreported = 0;
-    row.m_requested = demand.m_wanted;
-    if (demand.m_spent > 0 || demand.m_returned > 0 || demand.m_wanted > 0) {
+    row.m_requested = demand.m_requested;
+    if (demand.m_spent > 0 || demand.m_returned > 0 || demand.m_requested > 0) {
       demands.push_back(std::move(demand));
     }
   });
@@ -170,7 +170,7 @@
 void TokenBudget::OnGrants(const TokenResponse& response, TimePoint sent_at) {
   for (const TokenGrant& grant : response.m_grants) {
     TokenBudgetRow& row = FindOrAddRow(grant.m_workspace);
-    const TimePoint until = sent_at + response.m_lifetime;
+    const TimePoint until = sent_at + response.m_token_ttl;
     const double stock = grant.m_tokens - grant.m_for_waiting;
     if (grant.m_for_waiting > 0) {
       row.m_batches.push_back({grant.m_for_waiting, until, true});
--- a/src/traffic/token_issuer.cc
+++ b/src/traffic/token_issuer.cc
@@ -25,7 +25,7 @@
   OutstandingSum sum;
   for (const auto& out : row.m_outstanding) {
     sum.m_all += out.m_tokens;
-    sum.m_own += out.m_dispatcher == DispatcherName() ? 0 : out.m_tokens;
+    sum.m_own += out.m_dispatcher == DispatcherIdentity() ? 0 : out.m_tokens;
   }
   return sum;
 }
@@ -50,7 +50,7 @@
 // Removes up to `tokens` outstanding tokens of a dispatcher; returns the number
 // removed.
 double RemoveOutstanding(IssuedTokensRow& row,
-                         const DispatcherName& dispatcher,
+                         const DispatcherIdentity& dispatcher,
                          double tokens) {
   double removed = 0;
   for (auto& out : row.m_outstanding) {
@@ -82,14 +82,14 @@
     const TimePoint until = m_began_at + m_token_ttl;
     if (now < until) {
       row->second.m_outstanding.push_back(
-          {DispatcherName(), OutstandingLimit(limit), until});
+          {DispatcherIdentity(), OutstandingLimit(limit), until});
     }
   }
   return row->second;
 }
 
 TokenGrant TokenIssuer::Serve(const TokenLimit& limit,
-                              const DispatcherName& dispatcher,
+                              const DispatcherIdentity& dispatcher,
                               const TokenDemand& demand,
                               TimePoint now) {
   IssuedTokensRow& row = FindOrAddRow(limit, now);
@@ -107,7 +107,7 @@
   const double allowance =
       std::max(0.0, OutstandingLimit(limit) - outstanding.m_own);
   const double stock =
-      std::floor(std::max(0.0, std::min({demand.m_wanted - for_waiting,
+      std::floor(std::max(0.0, std::min({demand.m_requested - for_waiting,
                                          row.m_stock, allowance})) +
                  kRoundingError);
   if (stock > 0) {
--- a/src/traffic/token_issuer.h
+++ b/src/traffic/token_issuer.h
@@ -26,7 +26,7 @@
   /// Tokens granted to a dispatcher that may be used before `m_until`. The
   /// dispatcher is empty for tokens of a previous issuer.
   struct Outstanding {
-    DispatcherName m_dispatcher;
+    DispatcherIdentity m_dispatcher;
     double m_tokens = 0;
     TimePoint m_until;
   };
@@ -48,7 +48,7 @@
 
   /// Applies a dispatcher's demand and returns the tokens granted.
   TokenGrant Serve(const TokenLimit& limit,
-                   const DispatcherName& dispatcher,
+                   const DispatcherIdentity& dispatcher,
                    const TokenDemand& demand,
                    TimePoint now);
 
--- a/src/traffic/traffic_tables.h
+++ b/src/traffic/traffic_tables.h
@@ -87,7 +87,7 @@
 
   /// Deduplication state of released partitions, kept until the controller has
   /// acknowledged a report that contains it.
-  std::map<PartitionNumber, PartitionMemory> m_dedup_states;
+  std::map<PartitionNumber, PartitionDedupState> m_dedup_states;
 
   /// Crash suspects by fingerprint, and quarantined fingerprints.
   std::map<uint64_t, CrashSuspect> m_suspects;
--- a/tests/traffic/traffic_test.cc
+++ b/tests/traffic/traffic_test.cc
@@ -29,7 +29,7 @@
   const RequestId created = MakeRequestId(kNow);
   const RequestId parsed =
       ParseRequestId(created.m_text, kNow, milliseconds(0));
-  EXPECT_EQ(parsed.m_issued, kNow);
+  EXPECT_EQ(parsed.m_issued_at, kNow);
 }
 
 TEST(RequestIdTest, RejectsMalformedIds) {
@@ -164,7 +164,7 @@
   const TimePoint start{milliseconds(10'000)};
   EXPECT_FALSE(budget.TryAcquire("club", start));
   TokenResponse response;
-  response.m_lifetime = milliseconds(1000);
+  response.m_token_ttl = milliseconds(1000);
   response.m_grants = {{"club", 2}};
   budget.OnGrants(response, start);
   EXPECT_TRUE(budget.TryAcquire("club", start));
@@ -175,7 +175,7 @@
   TokenBudget budget(std::make_unique<DemandShare>(milliseconds(100)));
   const TimePoint start{milliseconds(10'000)};
   TokenResponse response;
-  response.m_lifetime = milliseconds(1000);
+  response.m_token_ttl = milliseconds(1000);
   response.m_grants = {{"club", 5}};
   budget.OnGrants(response, start);
   ASSERT_TRUE(budget.TryAcquire("club", start));
