--- a/src/apps/foxtail_control.cc
+++ b/src/apps/foxtail_control.cc
@@ -11,7 +11,7 @@
 #include "messages/codec.h"
 #include "platform/row_store.h"
 #include "runtime/address_list.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/http_server.h"
 #include "store/record_store.h"
 
@@ -22,7 +22,7 @@
 
 constexpr milliseconds kHelloPeriod{500};
 constexpr milliseconds kHelloTimeout{300};
-constexpr double kLeaseMargin = 1.05;
+constexpr double kMinLeaseTakeFactor = 1.05;
 constexpr size_t kControlBodyLimit = 16 * 1024 * 1024;  // bytes
 
 int CheckSettings(const DaemonSettings& settings) {
@@ -35,8 +35,8 @@
                 "--placement = '" + settings.m_placement +
                     "'; allowed: bounded, rendezvous");
   }
-  const auto least = settings.m_lease_hold * kLeaseMargin;
-  if (settings.m_lease_take < least) {
+  const auto min_lease_take = settings.m_lease_hold * kMinLeaseTakeFactor;
+  if (settings.m_lease_take < min_lease_take) {
     throw Error(ErrorCode::kSettingInvalid,
                 "--lease-take = '" +
                     std::to_string(settings.m_lease_take.count()) +
@@ -52,12 +52,12 @@
   return response;
 }
 
-// The HTTP front of a control process; it only decodes and encodes.
-class ControlFront {
+// The HTTP front end of a control process; it only decodes and encodes.
+class ControlFrontEnd {
  public:
-  ControlFront(const DaemonSettings& settings,
-               ControlLoop& loop,
-               OperatorService& operators)
+  ControlFrontEnd(const DaemonSettings& settings,
+                  ControlLoop& loop,
+                  OperatorService& operators)
       : m_settings(settings),
         m_loop(loop),
         m_rpc(m_connector, loop, operators) {}
@@ -66,7 +66,7 @@
     if (request.m_method == "GET") {
       return HandleGet(request);
     }
-    RequireCluster(request, m_settings.m_cluster_secret);
+    RequireClusterSecret(request, m_settings.m_cluster_secret);
     if (request.m_target == "/sync") {
       SyncRequest message;
       DecodeMessage(request.m_body, message);
@@ -114,9 +114,9 @@
 };
 
 // Greets the other control processes, so that each knows who may stand by.
-void GreetPeers(const DaemonSettings& settings,
-                ControlLoop& loop,
-                const bool& stopping) {
+void StartPeerHellos(const DaemonSettings& settings,
+                     ControlLoop& loop,
+                     const bool& stopping) {
   static HttpClient client;
   const ControlRpcClient rpc(client, settings.m_cluster_secret, kHelloTimeout);
   for (const std::string& address : ParseAddressList(settings.m_peers)) {
@@ -139,7 +139,7 @@
 
 int Run(const DaemonSettings& settings) {
   EventLog events("control@" + settings.m_listen, settings.m_log_file);
-  SetFiberFailureHandler([&events](const std::exception& failure) {
+  SetFiberExceptionHandler([&events](const std::exception& failure) {
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
@@ -147,15 +147,15 @@
   RecordStore store(rows, settings.m_platform_timeout);
   ControlLoop loop(settings, {RandomToken(), settings.m_listen}, store, events);
   OperatorService operators(loop, store, events);
-  ControlFront front(settings, loop, operators);
+  ControlFrontEnd front_end(settings, loop, operators);
   HttpServerSettings server_settings;
   server_settings.m_body_limit = kControlBodyLimit;
   HttpServer server(
       ParseAddress(settings.m_listen), server_settings,
-      [&front](HttpRequest& request) { return front.Handle(request); });
+      [&front_end](HttpRequest& request) { return front_end.Handle(request); });
   server.Start();
   bool stopping = false;
-  GreetPeers(settings, loop, stopping);
+  StartPeerHellos(settings, loop, stopping);
   events.Write(EventNumber::kProcessStarted, {{"address", settings.m_listen}});
   StartFiber([&] {
     WaitForStopSignal(
--- a/src/apps/foxtail_entry.cc
+++ b/src/apps/foxtail_entry.cc
@@ -16,14 +16,14 @@
 
 constexpr milliseconds kStopPollPeriod{10};
 
-void RequireWord(const std::string& flag,
-                 const std::string& value,
-                 const std::string& one,
-                 const std::string& other) {
-  if (value != one && value != other) {
-    throw Error(
-        ErrorCode::kSettingInvalid,
-        "--" + flag + " = '" + value + "'; allowed: " + one + ", " + other);
+void RequireOneOf(const std::string& flag,
+                  const std::string& value,
+                  const std::string& first_allowed,
+                  const std::string& second_allowed) {
+  if (value != first_allowed && value != second_allowed) {
+    throw Error(ErrorCode::kSettingInvalid, "--" + flag + " = '" + value +
+                                                "'; allowed: " + first_allowed +
+                                                ", " + second_allowed);
   }
 }
 
@@ -31,25 +31,25 @@
   ParseAddress(settings.m_listen);
   ParseAddress(settings.m_internal);
   ParseAddressList(settings.m_control);
-  RequireWord("queue", settings.m_queue, "fair", "fifo");
-  RequireWord("limit", settings.m_limit, "ramp", "fixed");
-  RequireWord("share", settings.m_share, "demand", "fixed");
+  RequireOneOf("queue", settings.m_queue, "fair", "fifo");
+  RequireOneOf("limit", settings.m_limit, "ramp", "fixed");
+  RequireOneOf("share", settings.m_share, "demand", "fixed");
   return kExitDone;
 }
 
 using Threads = std::vector<std::unique_ptr<TrafficThread>>;
 
-void LetGoOfLeases(const EntrySettings& settings,
-                   EntryControl& control,
-                   Threads& threads) {
+void ReleaseDispatchLeases(const EntrySettings& settings,
+                           EntryControl& control,
+                           Threads& threads) {
   control.Leave();
   const TimePoint until = Clock::now() + settings.m_stop_timeout;
-  size_t held = 1;
-  while (held > 0 && Clock::now() < until) {
+  size_t unreleased_leases = 1;
+  while (unreleased_leases > 0 && Clock::now() < until) {
     boost::this_fiber::sleep_for(kStopPollPeriod);
-    held = 0;
+    unreleased_leases = 0;
     for (auto& thread : threads) {
-      held += thread->CountHeld();
+      unreleased_leases += thread->CountHeld();
     }
   }
   // The controllers give the leases on once they know that all is let go.
@@ -65,7 +65,7 @@
     thread->FailHealth();
   }
   boost::this_fiber::sleep_for(settings.m_stop_delay);
-  LetGoOfLeases(settings, control, threads);
+  ReleaseDispatchLeases(settings, control, threads);
   bool clean = true;
   control.Stop();
   for (auto& thread : threads) {
@@ -76,7 +76,7 @@
 
 int Run(const EntrySettings& settings) {
   EventLog events("entry@" + settings.m_listen, settings.m_log_file);
-  SetFiberFailureHandler([&events](const std::exception& failure) {
+  SetFiberExceptionHandler([&events](const std::exception& failure) {
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
--- a/src/apps/foxtail_gateway.cc
+++ b/src/apps/foxtail_gateway.cc
@@ -25,39 +25,40 @@
       {"internal", settings.m_internal},
       {"metrics", settings.m_metrics},
       {"store", settings.m_store}};
-  std::string faults;
-  std::map<std::string, std::string> seen;
+  std::string errors;
+  std::map<std::string, std::string> flag_of_address;
   for (const auto& [flag, address] : addresses) {
     if (ParseAddress(address).m_port == 0) {
-      faults += "--" + flag + " = '" + address + "': port 0; ";
+      errors += "--" + flag + " = '" + address + "': port 0; ";
     }
-    const auto [other, added] = seen.emplace(address, flag);
+    const auto [other_flag, added] = flag_of_address.emplace(address, flag);
     if (!added) {
-      faults += "--" + flag + " = '" + address + "': the address of --" +
-                other->second + "; ";
+      errors += "--" + flag + " = '" + address + "': the address of --" +
+                other_flag->second + "; ";
     }
   }
-  if (!faults.empty()) {
+  if (!errors.empty()) {
     throw Error(ErrorCode::kSettingInvalid,
-                faults + "allowed: different addresses with ports");
+                errors + "allowed: different addresses with ports");
   }
   return kExitDone;
 }
 
 int Run(const GatewaySettings& settings) {
   EventLog events("gateway@" + settings.m_listen, settings.m_log_file);
-  SetFiberFailureHandler([&events](const std::exception& failure) {
+  SetFiberExceptionHandler([&events](const std::exception& failure) {
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
   const OperatorRows decoder;
-  const PlatformFront front;
-  const Address store = ParseAddress(settings.m_store);
-  GatewayThread traffic(settings, front, events);
-  ControlThread control(settings, decoder,
-                        {[store] { return std::make_unique<RowStore>(store); },
-                         [] { return std::make_unique<ServerOrders>(); }},
-                        traffic, events);
+  const PlatformFront front_end;
+  const Address store_address = ParseAddress(settings.m_store);
+  GatewayThread traffic(settings, front_end, events);
+  ControlThread control(
+      settings, decoder,
+      {[store_address] { return std::make_unique<RowStore>(store_address); },
+       [] { return std::make_unique<ServerOrders>(); }},
+      traffic, events);
   traffic.Start(control);
   control.Start();
   events.Write(EventNumber::kProcessStarted, {{"address", settings.m_listen}});
--- a/src/apps/foxtail_timeline.cc
+++ b/src/apps/foxtail_timeline.cc
@@ -9,53 +9,54 @@
 namespace foxtail {
 namespace {
 
-int Show(const std::vector<std::string>& files, const TimelineFilter& filter) {
+int PrintTimeline(const std::vector<std::string>& files,
+                  const TimelineFilter& filter) {
   std::vector<TimelineEvent> events;
-  size_t unknown = 0;
+  size_t skipped_lines = 0;
   for (const std::string& path : files) {
     std::ifstream file(path);
     if (!file) {
       throw Error(ErrorCode::kSettingInvalid,
                   "FILE = '" + path + "'; allowed: a readable event log");
     }
-    unknown += ReadEvents(file, events);
+    skipped_lines += ReadEvents(file, events);
   }
   OrderEvents(events);
   for (const TimelineEvent& event : events) {
-    if (Shows(filter, event)) {
-      std::cout << FormatEvent(event, events.front().m_corrected) << "\n";
+    if (Matches(filter, event)) {
+      std::cout << FormatEvent(event, events.front().m_corrected_at) << "\n";
     }
   }
-  if (unknown > 0) {
-    std::cerr << unknown << " lines were no events\n";
+  if (skipped_lines > 0) {
+    std::cerr << skipped_lines << " lines were no events\n";
   }
   return kExitDone;
 }
 
 int Run(int argc, char** argv) {
-  TCLAP::CmdLine line(
+  TCLAP::CmdLine command_line(
       "merges the numbered events of all processes into one time line", ' ', "",
       true);
-  line.setExceptionHandling(false);
+  command_line.setExceptionHandling(false);
   TCLAP::MultiArg<int> numbers("", "number", "show only this event number",
-                               false, "number", line);
+                               false, "number", command_line);
   TCLAP::ValueArg<std::string> value(
       "", "about",
       "show only events with this field value: a request id, plan, key's "
       "partition, cell or server",
-      false, "", "value", line);
+      false, "", "value", command_line);
   TCLAP::ValueArg<std::string> process("", "process",
                                        "show only events of this process",
-                                       false, "", "name", line);
+                                       false, "", "name", command_line);
   TCLAP::UnlabeledMultiArg<std::string> files("files", "event logs", true,
-                                              "FILE", line);
+                                              "FILE", command_line);
   try {
-    line.parse(argc, argv);
+    command_line.parse(argc, argv);
     TimelineFilter filter;
     filter.m_numbers = {numbers.getValue().begin(), numbers.getValue().end()};
     filter.m_value = value.getValue();
     filter.m_process = process.getValue();
-    return Show(files.getValue(), filter);
+    return PrintTimeline(files.getValue(), filter);
   } catch (const TCLAP::ExitException& help) {
     return help.getExitStatus();
   } catch (const TCLAP::ArgException& failure) {
--- a/src/apps/foxtailctl.cc
+++ b/src/apps/foxtailctl.cc
@@ -7,12 +7,12 @@
 namespace foxtail {
 namespace {
 
-struct CodeRow {
-  ErrorCode m_error;
-  ExitCode m_exit;
+struct ExitCodeRow {
+  ErrorCode m_error_code;
+  ExitCode m_exit_code;
 };
 
-constexpr CodeRow kExitCodes[] = {
+constexpr ExitCodeRow kExitCodes[] = {
     {ErrorCode::kSettingInvalid, kExitSettings},
     {ErrorCode::kPlanStale, kExitPlanStale},
     {ErrorCode::kNetwork, kExitUnavailable},
@@ -21,9 +21,9 @@
 };
 
 int ExitCodeOf(const Error& error) {
-  for (const CodeRow& row : kExitCodes) {
-    if (row.m_error == error.GetCode()) {
-      return row.m_exit;
+  for (const ExitCodeRow& row : kExitCodes) {
+    if (row.m_error_code == error.GetCode()) {
+      return row.m_exit_code;
     }
   }
   return kExitFailed;
--- a/src/apps/program.h
+++ b/src/apps/program.h
@@ -66,7 +66,7 @@
 /// Waits on the calling fiber until the process is asked to stop. A hang-up
 /// signal, which would end the process otherwise, calls `on_reload`.
 inline void WaitForStopSignal(const std::function<void()>& on_reload) {
-  boost::asio::signal_set signals(ThreadIo(), SIGINT, SIGTERM, SIGHUP);
+  boost::asio::signal_set signals(ThreadIoContext(), SIGINT, SIGTERM, SIGHUP);
   int number = SIGHUP;
   while (number == SIGHUP) {
     const boost::system::error_code failure = AwaitOperation([&](auto handler) {
--- a/src/apps/standin_backend.cc
+++ b/src/apps/standin_backend.cc
@@ -18,5 +18,6 @@
   return foxtail::RunProgram<foxtail::BackendStandinSettings>(
       argc, argv, environment, "stand-in for a backend server, for tests only",
       "STANDIN_BACKEND_", foxtail::BackendStandinRows(),
-      &foxtail::CheckStandin<foxtail::BackendStandinSettings>, &foxtail::Run);
+      &foxtail::CheckStandinSettings<foxtail::BackendStandinSettings>,
+      &foxtail::Run);
 }
--- a/src/apps/standin_main.h
+++ b/src/apps/standin_main.h
@@ -24,7 +24,7 @@
 
 /// Checks the settings of a stand-in, which has one address of its own.
 template <typename Settings>
-int CheckStandin(const Settings& settings) {
+int CheckStandinSettings(const Settings& settings) {
   ParseAddress(settings.m_listen);
   return kExitDone;
 }
--- a/src/apps/standin_platform.cc
+++ b/src/apps/standin_platform.cc
@@ -12,7 +12,7 @@
 
 using S = PlatformStandinSettings;
 
-constexpr std::array<SettingRow<S>, 1> kRows = {{
+constexpr std::array<SettingRow<S>, 1> kSettingRows = {{
     {"listen", "STANDIN_PLATFORM_LISTEN", "text", 9, 64, "IP:PORT",
      &S::m_listen},
 }};
@@ -32,6 +32,7 @@
 int main(int argc, char** argv, char** environment) {
   return foxtail::RunProgram<foxtail::PlatformStandinSettings>(
       argc, argv, environment, "stand-in for the platform, for tests only",
-      "STANDIN_PLATFORM_", foxtail::kRows,
-      &foxtail::CheckStandin<foxtail::PlatformStandinSettings>, &foxtail::Run);
+      "STANDIN_PLATFORM_", foxtail::kSettingRows,
+      &foxtail::CheckStandinSettings<foxtail::PlatformStandinSettings>,
+      &foxtail::Run);
 }
--- a/src/apps/standin_proxy.cc
+++ b/src/apps/standin_proxy.cc
@@ -14,7 +14,7 @@
 
 using S = ProxySettings;
 
-constexpr std::array<SettingRow<S>, 2> kRows = {{
+constexpr std::array<SettingRow<S>, 2> kSettingRows = {{
     {"listen", "STANDIN_PROXY_LISTEN", "text", 9, 64,
      "IP:PORT that sets faults", &S::m_listen},
     {"links", "STANDIN_PROXY_LINKS", "text", 1, 65536,
@@ -40,6 +40,6 @@
 int main(int argc, char** argv, char** environment) {
   return foxtail::RunProgram<foxtail::ProxySettings>(
       argc, argv, environment, "stand-in for a faulty network, for tests only",
-      "STANDIN_PROXY_", foxtail::kRows,
-      &foxtail::CheckStandin<foxtail::ProxySettings>, &foxtail::Run);
+      "STANDIN_PROXY_", foxtail::kSettingRows,
+      &foxtail::CheckStandinSettings<foxtail::ProxySettings>, &foxtail::Run);
 }
--- a/src/daemon/control_rpc_client.cc
+++ b/src/daemon/control_rpc_client.cc
@@ -2,7 +2,7 @@
 
 #include "core/error.h"
 #include "runtime/address.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/error_response.h"
 #include "runtime/rpc_client.h"
 
@@ -36,9 +36,9 @@
   const RpcTransport transport = [&](const std::string& body) {
     const HttpResponse response =
         m_client.Call(ParseAddress(address),
-                      ClusterRequest("/rpc", m_secret, body), m_timeout);
+                      BuildClusterRequest("/rpc", m_secret, body), m_timeout);
     if (response.m_status != kStatusOk) {
-      throw ErrorOfResponse(response, ErrorCode::kNetwork);
+      throw ParseErrorResponse(response, ErrorCode::kNetwork);
     }
     return response.m_body;
   };
--- a/src/entry/caller_handler.cc
+++ b/src/entry/caller_handler.cc
@@ -111,7 +111,7 @@
                     call.m_query.m_workspace);
   } catch (const Error& error) {
     Note(call, error);
-    response = ErrorResponse(error);
+    response = ToErrorResponse(error);
   }
   response.m_headers.Set(kCallerIdHeader, call.m_query.m_id.m_text);
   m_metrics.Observe("foxtail_request_seconds", "workspace",
@@ -274,7 +274,7 @@
                         call.m_query.m_deadline + kAnswerMargin);
   if (result.m_ok) {
     if (result.m_response.m_headers.Get(kErrorHeader)) {
-      throw ErrorOfResponse(result.m_response, ErrorCode::kDispatcherLost);
+      throw ParseErrorResponse(result.m_response, ErrorCode::kDispatcherLost);
     }
     return CallerResponse(std::move(result.m_response));
   }
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -6,7 +6,7 @@
 #include "core/error.h"
 #include "messages/codec.h"
 #include "runtime/address_list.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/fiber_scheduler.h"
 
 namespace foxtail {
@@ -83,8 +83,8 @@
   TrafficThread& thread = *m_threads[link.m_thread];
   SyncRequest report = thread.BuildReport(link.m_cell);
   report.m_leaving = m_leaving;
-  const HttpRequest call = ClusterRequest("/sync", m_settings.m_cluster_secret,
-                                          EncodeMessage(report));
+  const HttpRequest call = BuildClusterRequest(
+      "/sync", m_settings.m_cluster_secret, EncodeMessage(report));
   const TimePoint sent = Clock::now();
   SyncResponse response;
   try {
--- a/src/entry/forwarding.cc
+++ b/src/entry/forwarding.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "core/digest.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/error_response.h"
 
 namespace foxtail {
@@ -173,7 +173,7 @@
 }
 
 HttpResponse DispatchErrorResponse(const Error& error) {
-  HttpResponse response = ErrorResponse(error);
+  HttpResponse response = ToErrorResponse(error);
   response.m_headers.Set(kErrorHeader, "1");
   return response;
 }
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -5,7 +5,7 @@
 
 #include "core/error.h"
 #include "messages/codec.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 
 namespace foxtail {
 namespace {
@@ -90,7 +90,7 @@
   request.m_dispatcher = m_self;
   request.m_demands = m_budget.BuildDemands(sent);
   const HttpRequest call =
-      ClusterRequest("/tokens", m_cluster_secret, EncodeMessage(request));
+      BuildClusterRequest("/tokens", m_cluster_secret, EncodeMessage(request));
   TokenResponse response;
   try {
     const HttpResponse answer =
--- a/src/entry/traffic_thread.cc
+++ b/src/entry/traffic_thread.cc
@@ -12,7 +12,7 @@
 #include "entry/forwarding.h"
 #include "entry/token_client.h"
 #include "runtime/address_list.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/error_response.h"
 #include "runtime/fiber_scheduler.h"
 #include "runtime/http_server.h"
@@ -220,7 +220,7 @@
       return response;
     }
     try {
-      RequireCluster(request, m_owner.m_settings.m_cluster_secret);
+      RequireClusterSecret(request, m_owner.m_settings.m_cluster_secret);
       const DispatchQuery query = TakeDispatchQuery(request, Clock::now());
       return m_dispatcher.Dispatch(query, request);
     } catch (const Error& error) {
--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -111,7 +111,7 @@
 }
 
 void ControlThread::OpenSocket() {
-  m_socket = std::make_unique<udp::socket>(ThreadIo(), udp::v4());
+  m_socket = std::make_unique<udp::socket>(ThreadIoContext(), udp::v4());
   boost::system::error_code failure;
   m_socket->bind(EndpointOf(m_settings.m_internal), failure);
   if (failure) {
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -13,8 +13,8 @@
 // A backend server's idle connections are closed after some seconds at its end;
 // giving them up earlier keeps requests off connections that are about to go.
 constexpr HttpClientSettings kClientSettings{
-    .m_pool_limit = 16,
-    .m_idle_limit = std::chrono::seconds(6),
+    .m_max_idle_connections = 16,
+    .m_max_idle_time = std::chrono::seconds(6),
     .m_connect_timeout = milliseconds(300)};
 
 // What an answer may take beyond the deadline that the server was told.
@@ -385,11 +385,11 @@
       request, {server.m_id, call.WorkspaceName(), call.m_deadline - started});
   ServerAnswer answer;
   ExchangeOptions options;
-  options.m_belongs = [&](const HttpResponse& received) {
+  options.m_matches_request = [&](const HttpResponse& received) {
     answer = m_front.Judge(call.m_request, received);
     return answer.m_kind != AnswerKind::kInvalid;
   };
-  options.m_new_connection = call.m_attempts > 1;
+  options.m_force_new_connection = call.m_attempts > 1;
   ExchangeResult result = m_client.Exchange(
       server.m_address, forwarded, call.m_deadline + kAnswerMargin, options);
   const Verdict verdict =
--- a/src/runtime/cluster_call.h
+++ b/src/runtime/cluster_request.h
@@ -10,11 +10,12 @@
 inline constexpr const char* kClusterHeader = "x-foxtail-cluster";
 
 /// Builds a POST between the project's own processes.
-HttpRequest ClusterRequest(const std::string& target,
-                           const std::string& secret,
-                           std::string body);
+HttpRequest BuildClusterRequest(const std::string& target,
+                                const std::string& secret,
+                                std::string body);
 
 /// Throws `Error(kClusterSecretWrong)` unless the request shows the secret.
-void RequireCluster(const HttpRequest& request, const std::string& secret);
+void RequireClusterSecret(const HttpRequest& request,
+                          const std::string& secret);
 
 }  // namespace foxtail
--- a/src/runtime/error_response.cc
+++ b/src/runtime/error_response.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-HttpResponse ErrorResponse(const Error& error) {
+HttpResponse ToErrorResponse(const Error& error) {
   const ErrorInfo& info = InfoOf(error.GetCode());
   Json::Value body;
   body["error"] = std::string(info.m_name);
@@ -30,19 +30,19 @@
   return response;
 }
 
-HttpResponse HandleOrExplain(
+HttpResponse HandleCatchingErrors(
     const std::function<HttpResponse(HttpRequest&)>& handler,
     HttpRequest& request) {
   try {
     return handler(request);
   } catch (const Error& error) {
-    return ErrorResponse(error);
+    return ToErrorResponse(error);
   } catch (const std::exception&) {
-    return ErrorResponse(Error(ErrorCode::kInternal));
+    return ToErrorResponse(Error(ErrorCode::kInternal));
   }
 }
 
-Error ErrorOfResponse(const HttpResponse& response, ErrorCode fallback) {
+Error ParseErrorResponse(const HttpResponse& response, ErrorCode fallback) {
   Json::Value body;
   if (!TryParseJson(response.m_body, body) || !body.isObject() ||
       !body["error"].isString() || !body["execution"].isString()) {
--- a/src/runtime/error_response.h
+++ b/src/runtime/error_response.h
@@ -9,15 +9,15 @@
 
 /// Builds the response that reports an error: its status, a JSON body with
 /// `error`, `execution`, `detail` and `brief`, and the header x-execution.
-HttpResponse ErrorResponse(const Error& error);
+HttpResponse ToErrorResponse(const Error& error);
 
 /// Calls the handler; an exception becomes its error response.
-HttpResponse HandleOrExplain(
+HttpResponse HandleCatchingErrors(
     const std::function<HttpResponse(HttpRequest&)>& handler,
     HttpRequest& request);
 
-/// Rebuilds the error that a response of `ErrorResponse` reports. Falls back to
-/// `fallback` when the body is something else.
-Error ErrorOfResponse(const HttpResponse& response, ErrorCode fallback);
+/// Rebuilds the error that a response of `ToErrorResponse` reports. Falls back
+/// to `fallback` when the body is something else.
+Error ParseErrorResponse(const HttpResponse& response, ErrorCode fallback);
 
 }  // namespace foxtail
--- a/src/runtime/fiber_scheduler.cc
+++ b/src/runtime/fiber_scheduler.cc
@@ -88,7 +88,7 @@
   return *io;
 }
 
-boost::asio::io_context& ThreadIo() {
+boost::asio::io_context& ThreadIoContext() {
   assert(thread_io != nullptr);
   return *thread_io;
 }
@@ -107,7 +107,7 @@
   }).detach();
 }
 
-void SetFiberFailureHandler(
+void SetFiberExceptionHandler(
     std::function<void(const std::exception&)> handler) {
   FailureHandler() = std::move(handler);
 }
--- a/src/runtime/fiber_scheduler.h
+++ b/src/runtime/fiber_scheduler.h
@@ -35,13 +35,14 @@
 boost::asio::io_context& InstallFiberScheduler();
 
 /// Returns the `io_context` of this thread. The scheduler must be installed.
-boost::asio::io_context& ThreadIo();
+boost::asio::io_context& ThreadIoContext();
 
 /// Starts a detached fiber. An exception that leaves `body` is passed to the
-/// handler set with `SetFiberFailureHandler`.
+/// handler set with `SetFiberExceptionHandler`.
 void StartFiber(std::function<void()> body);
 
 /// Sets the handler of exceptions that leave a fiber, for all threads.
-void SetFiberFailureHandler(std::function<void(const std::exception&)> handler);
+void SetFiberExceptionHandler(
+    std::function<void(const std::exception&)> handler);
 
 }  // namespace foxtail
--- a/src/runtime/fiber_stream.cc
+++ b/src/runtime/fiber_stream.cc
@@ -27,7 +27,7 @@
   m_socket.close(ignored);
 }
 
-bool FiberStream::IsSilent() {
+bool FiberStream::IsOpenAndIdle() {
   char byte = 0;
   const ssize_t got =
       recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/runtime/fiber_stream.h
+++ b/src/runtime/fiber_stream.h
@@ -33,7 +33,7 @@
   void Abort();
 
   /// Returns whether the connection is open and nothing waits to be read.
-  bool IsSilent();
+  bool IsOpenAndIdle();
 
   // The names that the library asks for.
   template <typename Buffers>
@@ -56,13 +56,13 @@
 
   template <typename Buffers>
   size_t read_some(const Buffers& buffers) {  // NOLINT
-    return OrThrow(
+    return ThrowOnError(
         [&](ErrorCode& failure) { return read_some(buffers, failure); });
   }
 
   template <typename Buffers>
   size_t write_some(const Buffers& buffers) {  // NOLINT
-    return OrThrow(
+    return ThrowOnError(
         [&](ErrorCode& failure) { return write_some(buffers, failure); });
   }
 
@@ -90,7 +90,7 @@
   }
 
   template <typename Function>
-  static size_t OrThrow(Function function) {
+  static size_t ThrowOnError(Function function) {
     ErrorCode failure;
     const size_t bytes = function(failure);
     if (failure) {
--- a/src/runtime/http_client.cc
+++ b/src/runtime/http_client.cc
@@ -46,17 +46,19 @@
 }
 
 // Returns how long the connection may stay idle after this response.
-Duration IdleLimitOf(const HttpResponse& response, Duration own_limit) {
+Duration MaxIdleTimeOf(const HttpResponse& response,
+                       Duration own_max_idle_time) {
   const std::string field = response.m_headers.GetOr("keep-alive", "");
   const size_t at = field.find("timeout=");
   if (at == std::string::npos) {
-    return own_limit;
+    return own_max_idle_time;
   }
-  uint32_t stated = 0;
+  uint32_t server_timeout = 0;
   const char* begin = field.data() + at + std::string_view("timeout=").size();
-  std::from_chars(begin, field.data() + field.size(), stated);
-  const Duration usable = std::chrono::seconds(stated) - kKeepAliveMargin;
-  return std::clamp(usable, Duration(0), own_limit);
+  std::from_chars(begin, field.data() + field.size(), server_timeout);
+  const Duration usable =
+      std::chrono::seconds(server_timeout) - kKeepAliveMargin;
+  return std::clamp(usable, Duration(0), own_max_idle_time);
 }
 
 http::request<http::string_body> ToMessage(const HttpRequest& request,
@@ -96,7 +98,7 @@
   explicit Connection(asio::io_context& io) : m_stream(tcp::socket(io)) {}
 
   // An idle connection must be silent: readable means closed or out of step.
-  bool IsUsable() { return m_buffer.size() == 0 && m_stream.IsSilent(); }
+  bool IsUsable() { return m_buffer.size() == 0 && m_stream.IsOpenAndIdle(); }
 
   FiberStream m_stream;
   beast::flat_buffer m_buffer;
@@ -110,9 +112,9 @@
 
 HttpClient::~HttpClient() = default;
 
-std::unique_ptr<HttpClient::Connection> HttpClient::TakeIdle(
+std::unique_ptr<HttpClient::Connection> HttpClient::TakeIdleConnection(
     const Address& address) {
-  auto& idle = m_idle[address.ToString()];
+  auto& idle = m_idle_connections[address.ToString()];
   while (!idle.empty()) {
     std::unique_ptr<Connection> connection = std::move(idle.back());
     idle.pop_back();
@@ -127,7 +129,7 @@
     const Address& address,
     TimePoint deadline,
     ExchangeResult& result) {
-  auto connection = std::make_unique<Connection>(ThreadIo());
+  auto connection = std::make_unique<Connection>(ThreadIoContext());
   const tcp::endpoint endpoint(asio::ip::make_address(address.m_host),
                                address.m_port);
   connection->m_stream.SetDeadline(
@@ -135,7 +137,7 @@
   const error_code failure = connection->m_stream.Connect(endpoint);
   if (failure) {
     result.m_timed_out = failure == asio::error::timed_out;
-    result.m_refused = failure == asio::error::connection_refused;
+    result.m_connection_refused = failure == asio::error::connection_refused;
     return nullptr;
   }
   connection->m_stream.EnableImmediateWrites();
@@ -143,10 +145,10 @@
   return connection;
 }
 
-void HttpClient::KeepIdle(const Address& address,
-                          std::unique_ptr<Connection> connection) {
-  auto& idle = m_idle[address.ToString()];
-  if (idle.size() < m_settings.m_pool_limit) {
+void HttpClient::ReturnToPool(const Address& address,
+                              std::unique_ptr<Connection> connection) {
+  auto& idle = m_idle_connections[address.ToString()];
+  if (idle.size() < m_settings.m_max_idle_connections) {
     idle.push_back(std::move(connection));
   }
 }
@@ -157,7 +159,7 @@
                                     const ExchangeOptions& options) {
   ExchangeResult result;
   std::unique_ptr<Connection> connection =
-      options.m_new_connection ? nullptr : TakeIdle(address);
+      options.m_force_new_connection ? nullptr : TakeIdleConnection(address);
   if (!connection) {
     connection = Connect(address, deadline, result);
   }
@@ -168,7 +170,7 @@
   const bool cancelled =
       request.m_cancellation && request.m_cancellation->IsCancelled();
   if (cancelled || (options.m_before_send && !options.m_before_send())) {
-    KeepIdle(address, std::move(connection));
+    ReturnToPool(address, std::move(connection));
     return result;
   }
   result.m_progress = ExchangeProgress::kMaybeSent;
@@ -192,14 +194,15 @@
     return result;
   }
   result.m_ok = true;
-  const bool keep = parser.get().keep_alive();
+  const bool keep_alive = parser.get().keep_alive();
   result.m_response = ToResponse(parser.release());
   connection->m_usable_until =
-      Clock::now() + IdleLimitOf(result.m_response, m_settings.m_idle_limit);
-  const bool in_step =
-      !options.m_belongs || options.m_belongs(result.m_response);
-  if (keep && in_step) {
-    KeepIdle(address, std::move(connection));
+      Clock::now() +
+      MaxIdleTimeOf(result.m_response, m_settings.m_max_idle_time);
+  const bool matches_request = !options.m_matches_request ||
+                               options.m_matches_request(result.m_response);
+  if (keep_alive && matches_request) {
+    ReturnToPool(address, std::move(connection));
   }
   return result;
 }
--- a/src/runtime/http_client.h
+++ b/src/runtime/http_client.h
@@ -24,7 +24,7 @@
   bool m_timed_out = false;
 
   /// The other side has no listener on the port, so its process is gone.
-  bool m_refused = false;
+  bool m_connection_refused = false;
   ExchangeProgress m_progress = ExchangeProgress::kNothingSent;
   HttpResponse m_response;
 };
@@ -37,21 +37,21 @@
 
   /// Returns whether the response belongs to the request. If not, the
   /// connection is out of step and is not used again.
-  std::function<bool(const HttpResponse&)> m_belongs = nullptr;
+  std::function<bool(const HttpResponse&)> m_matches_request = nullptr;
 
   /// Takes no idle connection: a late second answer to an earlier sending of
   /// the same request could not be told from the answer to this one.
-  bool m_new_connection = false;
+  bool m_force_new_connection = false;
 };
 
 /// Limits of an `HttpClient`.
 struct HttpClientSettings {
   /// Most idle connections kept per address.
-  size_t m_pool_limit = 64;
+  size_t m_max_idle_connections = 64;
 
   /// Longest time a connection is kept idle. A shorter timeout that the other
   /// side states in `Keep-Alive` goes first.
-  Duration m_idle_limit = std::chrono::seconds(60);
+  Duration m_max_idle_time = std::chrono::seconds(60);
 
   /// Longest time for a new connection, within the deadline.
   Duration m_connect_timeout = std::chrono::seconds(5);
@@ -87,15 +87,16 @@
  private:
   struct Connection;
 
-  std::unique_ptr<Connection> TakeIdle(const Address& address);
+  std::unique_ptr<Connection> TakeIdleConnection(const Address& address);
   std::unique_ptr<Connection> Connect(const Address& address,
                                       TimePoint deadline,
                                       ExchangeResult& result);
-  void KeepIdle(const Address& address, std::unique_ptr<Connection> connection);
+  void ReturnToPool(const Address& address,
+                    std::unique_ptr<Connection> connection);
 
   HttpClientSettings m_settings;
   std::unordered_map<std::string, std::vector<std::unique_ptr<Connection>>>
-      m_idle;
+      m_idle_connections;
 };
 
 }  // namespace foxtail
--- a/src/runtime/http_message.h
+++ b/src/runtime/http_message.h
@@ -59,10 +59,10 @@
   int m_status = 200;
   HttpHeaders m_headers;
   std::string m_body;
-  bool m_close = false;
+  bool m_close_connection = false;
 
   /// Drop the connection instead of answering; for stand-ins of failures.
-  bool m_drop = false;
+  bool m_drop_connection = false;
 };
 
 }  // namespace foxtail
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -28,7 +28,7 @@
 constexpr std::chrono::milliseconds kStopPollPeriod{5};
 
 // Most requests fit into one read.
-constexpr size_t kFirstRead = 4096;  // bytes
+constexpr size_t kFirstReadSize = 4096;  // bytes
 
 using ReusePort =
     asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
@@ -39,10 +39,10 @@
 bool HasAmbiguousFraming(const Parser::value_type& message) {
   const auto codings = message.count(http::field::transfer_encoding);
   const auto lengths = message.count(http::field::content_length);
-  const bool odd_coding =
+  const bool unsupported_coding =
       codings > 0 && !boost::beast::iequals(
                          message[http::field::transfer_encoding], "chunked");
-  return odd_coding || codings > 1 || (codings > 0 && lengths > 0) ||
+  return unsupported_coding || codings > 1 || (codings > 0 && lengths > 0) ||
          lengths > 1 || message.count(http::field::host) != 1 ||
          message.count(http::field::authorization) > 1;
 }
@@ -75,7 +75,7 @@
   return message;
 }
 
-ErrorCode CodeOfReadFailure(const error_code& failure) {
+ErrorCode ErrorCodeOfReadFailure(const error_code& failure) {
   if (failure == http::error::header_limit) {
     return ErrorCode::kHeaderTooLarge;
   }
@@ -121,7 +121,7 @@
     }
     m_reading = true;
     m_stream.GetSocket().async_read_some(
-        m_buffer.prepare(kFirstRead),
+        m_buffer.prepare(kFirstReadSize),
         [self = shared_from_this()](const error_code& failure, size_t bytes) {
           self->OnRead(failure, bytes);
         });
@@ -131,7 +131,7 @@
     m_reading = false;
     m_read_failure = failure;
     m_buffer.commit(bytes);
-    m_read_done.Notify();
+    m_read_finished.Notify();
     if (failure && m_cancellation) {
       m_cancellation->Cancel();
     }
@@ -141,7 +141,7 @@
   bool AwaitRequest(TimePoint until) {
     StartRead();
     while (m_reading && Clock::now() < until) {
-      m_read_done.WaitUntil(until);
+      m_read_finished.WaitUntil(until);
     }
     return !m_reading && !m_read_failure;
   }
@@ -150,11 +150,11 @@
   beast::flat_buffer m_buffer;
   bool m_reading = false;
   error_code m_read_failure;
-  FiberEvent m_read_done;
+  FiberEvent m_read_finished;
 
   /// Of the request that is being answered.
   std::shared_ptr<Cancellation> m_cancellation;
-  bool m_in_request = false;
+  bool m_request_in_flight = false;
 };
 
 HttpServer::HttpServer(const Address& address,
@@ -162,7 +162,7 @@
                        Handler handler)
     : m_settings(settings),
       m_handler(std::move(handler)),
-      m_acceptor(ThreadIo()) {
+      m_acceptor(ThreadIoContext()) {
   const tcp::endpoint endpoint(asio::ip::make_address(address.m_host),
                                address.m_port);
   error_code failure;
@@ -195,7 +195,7 @@
 
 void HttpServer::AcceptLoop() {
   while (!m_stopping) {
-    tcp::socket socket(ThreadIo());
+    tcp::socket socket(ThreadIoContext());
     const error_code failure = AwaitOperation(
         [&](auto handler) { m_acceptor.async_accept(socket, handler); });
     if (failure) {
@@ -209,22 +209,22 @@
     auto connection = std::make_shared<Connection>(std::move(socket));
     m_connections.push_back(connection.get());
     StartFiber([this, connection] {
-      Serve(*connection);
+      ServeConnection(*connection);
       m_connections.remove(connection.get());
     });
   }
   m_accepting = false;
 }
 
-void HttpServer::Serve(Connection& connection) {
-  while (!m_stopping && ServeOne(connection)) {
+void HttpServer::ServeConnection(Connection& connection) {
+  while (!m_stopping && ServeRequest(connection)) {
   }
   error_code ignored;
   connection.m_stream.GetSocket().shutdown(tcp::socket::shutdown_both, ignored);
   connection.m_stream.GetSocket().close(ignored);
 }
 
-bool HttpServer::ServeOne(Connection& connection) {
+bool HttpServer::ServeRequest(Connection& connection) {
   Parser parser;
   parser.header_limit(static_cast<uint32_t>(m_settings.m_header_limit));
   parser.body_limit(m_settings.m_body_limit);
@@ -232,7 +232,7 @@
   if (!connection.AwaitRequest(Clock::now() + m_settings.m_idle_timeout)) {
     return false;
   }
-  connection.m_in_request = true;
+  connection.m_request_in_flight = true;
   FiberStream& stream = connection.m_stream;
   stream.SetDeadline(Clock::now() + m_settings.m_read_timeout);
   error_code failure;
@@ -249,44 +249,47 @@
   HttpResponse response;
   bool keep_alive = false;
   if (failure) {
-    response = ErrorResponse(Error(CodeOfReadFailure(failure)));
+    response = ToErrorResponse(Error(ErrorCodeOfReadFailure(failure)));
   } else if (HasAmbiguousFraming(parser.get())) {
-    response = ErrorResponse(Error(ErrorCode::kRequestMalformed));
+    response = ToErrorResponse(Error(ErrorCode::kRequestMalformed));
   } else {
     keep_alive = parser.get().keep_alive();
     HttpRequest request = ToRequest(parser.release());
-    response = Handle(connection, request);
+    response = HandleRequest(connection, request);
   }
-  if (response.m_drop) {
+  if (response.m_drop_connection) {
     return false;
   }
-  keep_alive = keep_alive && !response.m_close && !m_stopping && !m_draining;
+  keep_alive =
+      keep_alive && !response.m_close_connection && !m_stopping && !m_draining;
   auto message = ToMessage(std::move(response), keep_alive);
   stream.SetDeadline(Clock::now() + m_settings.m_read_timeout);
   http::write(stream, message, failure);
-  connection.m_in_request = false;
+  connection.m_request_in_flight = false;
   return !failure && keep_alive;
 }
 
-HttpResponse HttpServer::Handle(Connection& connection, HttpRequest& request) {
+HttpResponse HttpServer::HandleRequest(Connection& connection,
+                                       HttpRequest& request) {
   request.m_cancellation = std::make_shared<Cancellation>();
   connection.m_cancellation = request.m_cancellation;
   connection.StartRead();
-  HttpResponse response = HandleOrExplain(m_handler, request);
+  HttpResponse response = HandleCatchingErrors(m_handler, request);
   connection.m_cancellation.reset();
-  response.m_drop = response.m_drop || request.m_cancellation->IsCancelled();
+  response.m_drop_connection =
+      response.m_drop_connection || request.m_cancellation->IsCancelled();
   return response;
 }
 
-bool HttpServer::Stop(Duration deadline) {
+bool HttpServer::Stop(Duration timeout) {
   m_stopping = true;
   error_code ignored;
   m_acceptor.cancel(ignored);
   m_acceptor.close(ignored);
-  const TimePoint until = Clock::now() + deadline;
+  const TimePoint until = Clock::now() + timeout;
   while (Clock::now() < until) {
     for (Connection* connection : m_connections) {
-      if (!connection->m_in_request) {
+      if (!connection->m_request_in_flight) {
         connection->m_stream.GetSocket().cancel(ignored);
       }
     }
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -57,9 +57,9 @@
   void StartDraining() { m_draining = true; }
 
   /// Stops accepting, answers requests in progress, closes idle connections and
-  /// returns when all are closed or `deadline` has passed. Returns whether all
+  /// returns when all are closed or `timeout` has passed. Returns whether all
   /// were closed.
-  bool Stop(Duration deadline);
+  bool Stop(Duration timeout);
 
   /// Port in use; differs from the requested one when that was 0.
   uint16_t GetPort() const;
@@ -71,9 +71,9 @@
 
  private:
   void AcceptLoop();
-  void Serve(Connection& connection);
-  bool ServeOne(Connection& connection);
-  HttpResponse Handle(Connection& connection, HttpRequest& request);
+  void ServeConnection(Connection& connection);
+  bool ServeRequest(Connection& connection);
+  HttpResponse HandleRequest(Connection& connection, HttpRequest& request);
 
   HttpServerSettings m_settings;
   Handler m_handler;
--- a/src/runtime/rpc_client.cc
+++ b/src/runtime/rpc_client.cc
@@ -9,9 +9,10 @@
 namespace foxtail {
 namespace {
 
-class Connector : public jsonrpc::IClientConnector {
+class TransportConnector : public jsonrpc::IClientConnector {
  public:
-  explicit Connector(const RpcTransport& transport) : m_transport(transport) {}
+  explicit TransportConnector(const RpcTransport& transport)
+      : m_transport(transport) {}
 
   // The declared exception specification would terminate the process on any
   // other exception, so a transport failure is carried past it.
@@ -44,7 +45,7 @@
              const Json::Value& parameters,
              Json::Value& result,
              std::string& failure) {
-  Connector connector(transport);
+  TransportConnector connector(transport);
   jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
   try {
     client.CallMethod(method, parameters, result);
--- a/src/standins/backend_standin.cc
+++ b/src/standins/backend_standin.cc
@@ -55,7 +55,7 @@
 }
 
 HttpResponse Refusal(const std::string& reason) {
-  return ErrorResponse(
+  return ToErrorResponse(
       Error(ErrorCode::kServerRefused, Execution::kNotRun, reason));
 }
 
--- a/src/standins/fault_proxy.cc
+++ b/src/standins/fault_proxy.cc
@@ -42,7 +42,7 @@
 
 struct FaultProxy::Pair {
   explicit Pair(tcp::socket accepted)
-      : m_caller(std::move(accepted)), m_target(ThreadIo()) {}
+      : m_caller(std::move(accepted)), m_target(ThreadIoContext()) {}
 
   void Close() {
     error_code ignored;
@@ -56,7 +56,7 @@
 
 struct FaultProxy::Link {
   Link(const std::string& listen, const std::string& target)
-      : m_acceptor(ThreadIo(), EndpointOf(listen)),
+      : m_acceptor(ThreadIoContext(), EndpointOf(listen)),
         m_target(EndpointOf(target)) {}
 
   tcp::acceptor m_acceptor;
@@ -87,7 +87,7 @@
 
 void FaultProxy::Accept(Link& link) {
   while (true) {
-    tcp::socket socket(ThreadIo());
+    tcp::socket socket(ThreadIoContext());
     const error_code failure = AwaitOperation(
         [&](auto handler) { link.m_acceptor.async_accept(socket, handler); });
     if (failure) {
--- a/src/standins/platform_standin.cc
+++ b/src/standins/platform_standin.cc
@@ -221,7 +221,7 @@
   if (m_lose_answers > 0) {
     --m_lose_answers;
     HttpResponse lost;
-    lost.m_drop = true;
+    lost.m_drop_connection = true;
     return lost;
   }
   return JsonResponse(200, Envelope());
--- a/src/timeline/timeline.cc
+++ b/src/timeline/timeline.cc
@@ -14,16 +14,16 @@
 using std::chrono::milliseconds;
 
 // An event that can only happen after another one, as told by a shared field.
-struct CauseRule {
+struct CausalityRule {
   EventNumber m_cause;
   EventNumber m_effect;
   const char* m_field;
 };
 
-constexpr std::array kCauseRules = {
-    CauseRule{EventNumber::kPlanMade, EventNumber::kPlanConfirmed, "plan"},
-    CauseRule{EventNumber::kPlanConfirmed, EventNumber::kConfigurationInForce,
-              "version"},
+constexpr std::array kCausalityRules = {
+    CausalityRule{EventNumber::kPlanMade, EventNumber::kPlanConfirmed, "plan"},
+    CausalityRule{EventNumber::kPlanConfirmed,
+                  EventNumber::kConfigurationInForce, "version"},
 };
 
 std::string TextOf(const Json::Value& value) {
@@ -37,8 +37,8 @@
       !value["number"].isInt() || !value["event"].isString()) {
     return false;
   }
-  event.m_written = WallTime(milliseconds(value["time_ms"].asInt64()));
-  event.m_corrected = event.m_written;
+  event.m_written_at = WallTime(milliseconds(value["time_ms"].asInt64()));
+  event.m_corrected_at = event.m_written_at;
   event.m_process = value["process"].asString();
   event.m_sequence = value["sequence"].asUInt64();
   event.m_number = value["number"].asInt();
@@ -58,7 +58,7 @@
 std::map<std::string, milliseconds> ClockCorrections(
     const std::vector<TimelineEvent>& events) {
   std::map<std::string, milliseconds> corrections;
-  for (const CauseRule& rule : kCauseRules) {
+  for (const CausalityRule& rule : kCausalityRules) {
     std::map<std::string, const TimelineEvent*> causes;
     for (const TimelineEvent& event : events) {
       if (event.m_number == static_cast<int>(rule.m_cause)) {
@@ -75,8 +75,8 @@
       if (cause != causes.end() &&
           cause->second->m_process != event.m_process) {
         milliseconds& correction = corrections[event.m_process];
-        correction =
-            std::max(correction, cause->second->m_corrected - event.m_written);
+        correction = std::max(
+            correction, cause->second->m_corrected_at - event.m_written_at);
       }
     }
   }
@@ -86,16 +86,16 @@
 }  // namespace
 
 size_t ReadEvents(std::istream& stream, std::vector<TimelineEvent>& events) {
-  size_t unknown = 0;
+  size_t skipped_lines = 0;
   for (std::string line; std::getline(stream, line);) {
     TimelineEvent event;
     if (ParseEvent(line, event)) {
       events.push_back(std::move(event));
     } else {
-      ++unknown;
+      ++skipped_lines;
     }
   }
-  return unknown;
+  return skipped_lines;
 }
 
 void OrderEvents(std::vector<TimelineEvent>& events) {
@@ -103,15 +103,15 @@
   for (TimelineEvent& event : events) {
     const auto found = corrections.find(event.m_process);
     if (found != corrections.end()) {
-      event.m_corrected = event.m_written + found->second;
+      event.m_corrected_at = event.m_written_at + found->second;
     }
   }
   std::ranges::sort(events, {}, [](const TimelineEvent& event) {
-    return std::tuple(event.m_corrected, event.m_process, event.m_sequence);
+    return std::tuple(event.m_corrected_at, event.m_process, event.m_sequence);
   });
 }
 
-bool Shows(const TimelineFilter& filter, const TimelineEvent& event) {
+bool Matches(const TimelineFilter& filter, const TimelineEvent& event) {
   if (!filter.m_numbers.empty() && !filter.m_numbers.contains(event.m_number)) {
     return false;
   }
@@ -129,7 +129,7 @@
   for (const auto& [name, value] : event.m_fields) {
     fields += fmt::format(" {}={}", name, value);
   }
-  const milliseconds offset = event.m_corrected - start;
+  const milliseconds offset = event.m_corrected_at - start;
   return fmt::format("{:>10.3f}s  {:<28} {:>3} {}{}",
                      static_cast<double>(offset.count()) / 1000,
                      event.m_process, event.m_number, event.m_name, fields);
--- a/src/timeline/timeline.h
+++ b/src/timeline/timeline.h
@@ -14,10 +14,10 @@
 /// One event as read from a process's log.
 struct TimelineEvent {
   /// Wall time of the process that wrote it.
-  WallTime m_written;
+  WallTime m_written_at;
 
   /// Wall time after the correction of the process's clock.
-  WallTime m_corrected;
+  WallTime m_corrected_at;
   std::string m_process;
   uint64_t m_sequence = 0;
   int m_number = 0;
@@ -44,7 +44,7 @@
 void OrderEvents(std::vector<TimelineEvent>& events);
 
 /// Returns whether a filter shows an event.
-bool Shows(const TimelineFilter& filter, const TimelineEvent& event);
+bool Matches(const TimelineFilter& filter, const TimelineEvent& event);
 
 /// Formats an event as one line; times are relative to `start`.
 std::string FormatEvent(const TimelineEvent& event, WallTime start);
--- a/tests/runtime/fiber_stream_test.cc
+++ b/tests/runtime/fiber_stream_test.cc
@@ -21,15 +21,16 @@
 struct StreamPair {
   StreamPair() {
     tcp::acceptor acceptor(
-        ThreadIo(), tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
+        ThreadIoContext(),
+        tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     m_near.GetSocket().connect(acceptor.local_endpoint());
     acceptor.accept(m_far.GetSocket());
     m_near.EnableImmediateWrites();
     m_far.EnableImmediateWrites();
   }
 
-  FiberStream m_near{tcp::socket(ThreadIo())};
-  FiberStream m_far{tcp::socket(ThreadIo())};
+  FiberStream m_near{tcp::socket(ThreadIoContext())};
+  FiberStream m_far{tcp::socket(ThreadIoContext())};
 };
 
 // Found when handlers began to notify fibers: a handler that ran while a fiber
@@ -50,7 +51,7 @@
     for (int i = 0; i < handled % 17; ++i) {
       boost::this_fiber::yield();
     }
-    boost::asio::post(ThreadIo(), [&] {
+    boost::asio::post(ThreadIoContext(), [&] {
       ++handled;
       event.Notify();
     });
@@ -103,7 +104,8 @@
 // up arrived seconds after it was given up, when another server owned the keys.
 TEST(FiberStreamTest, AnExchangeThatIsGivenUpDeliversNothingLater) {
   tcp::acceptor acceptor(
-      ThreadIo(), tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
+      ThreadIoContext(),
+      tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   HttpClient client;
   const ExchangeResult result =
       client.Exchange({"127.0.0.1", acceptor.local_endpoint().port()},
@@ -161,7 +163,7 @@
   }
 
   FiberStream Connected() {
-    FiberStream stream{tcp::socket(ThreadIo())};
+    FiberStream stream{tcp::socket(ThreadIoContext())};
     stream.GetSocket().connect(
         {boost::asio::ip::address_v4::loopback(), m_server.GetPort()});
     stream.EnableImmediateWrites();
@@ -244,7 +246,7 @@
 TEST_F(OutOfStepTest, AConnectionWithAnAnswerOfAnotherRequestIsClosed) {
   bool rejected = false;
   ExchangeOptions options;
-  options.m_belongs = [&rejected](const HttpResponse&) {
+  options.m_matches_request = [&rejected](const HttpResponse&) {
     return std::exchange(rejected, true);
   };
   EXPECT_EQ(Connections(options), "1");
@@ -258,7 +260,7 @@
 
 TEST_F(OutOfStepTest, ASecondSendingTakesANewConnection) {
   EXPECT_EQ(Connections({}), "1");
-  EXPECT_EQ(Connections({.m_new_connection = true}), "2");
+  EXPECT_EQ(Connections({.m_force_new_connection = true}), "2");
 }
 
 }  // namespace
--- a/tests/timeline/timeline_test.cc
+++ b/tests/timeline/timeline_test.cc
@@ -29,14 +29,14 @@
   event.m_process = "a";
   event.m_fields = {{"server", "catalogue-1"}};
   TimelineFilter filter;
-  EXPECT_TRUE(Shows(filter, event));
+  EXPECT_TRUE(Matches(filter, event));
   filter.m_value = "catalogue-1";
-  EXPECT_TRUE(Shows(filter, event));
+  EXPECT_TRUE(Matches(filter, event));
   filter.m_value = "catalogue";
-  EXPECT_FALSE(Shows(filter, event));
+  EXPECT_FALSE(Matches(filter, event));
   filter = {};
   filter.m_numbers = {311};
-  EXPECT_FALSE(Shows(filter, event));
+  EXPECT_FALSE(Matches(filter, event));
 }
 
 }  // namespace
