--- a/src/apps/foxtail_control.cc
+++ b/src/apps/foxtail_control.cc
@@ -52,7 +52,8 @@
   return response;
 }
 
-// The HTTP front end of a control process; it only decodes and encodes.
+// The HTTP front end of a control process, which only decodes requests and
+// encodes responses.
 class ControlFrontEnd {
  public:
   ControlFrontEnd(const DaemonSettings& settings,
@@ -113,7 +114,8 @@
   ControlRpc m_rpc;
 };
 
-// Greets the other control processes, so that each knows who may stand by.
+// Sends a hello call to every other control process each `kHelloPeriod`, so
+// that each process knows which others are available as standbys.
 void StartPeerHellos(const DaemonSettings& settings,
                      ControlLoop& loop,
                      const bool& stopping) {
@@ -129,7 +131,7 @@
           const PeerAnswer peer = rpc.Hello(address);
           loop.NotePeer(peer.m_peer, peer.m_data_centre);
         } catch (const Error&) {
-          // A silent peer is forgotten after a while.
+          // The control loop forgets a peer that has not responded for a while.
         }
         boost::this_fiber::sleep_for(kHelloPeriod);
       }
@@ -166,7 +168,8 @@
   });
   loop.Run();
   events.Write(EventNumber::kProcessStopped, {});
-  // Connections of long waits are cut; their senders ask another process.
+  // Exiting closes the connections of pending long polls; their clients then
+  // poll another control process.
   std::_Exit(kExitDone);
 }
 
--- a/src/apps/foxtail_entry.cc
+++ b/src/apps/foxtail_entry.cc
@@ -44,20 +44,22 @@
                            Threads& threads) {
   control.Leave();
   const TimePoint until = Clock::now() + settings.m_stop_timeout;
-  size_t unreleased_leases = 1;
-  while (unreleased_leases > 0 && Clock::now() < until) {
+  size_t unreleased = 1;
+  while (unreleased > 0 && Clock::now() < until) {
     boost::this_fiber::sleep_for(kStopPollPeriod);
-    unreleased_leases = 0;
+    unreleased = 0;
     for (auto& thread : threads) {
-      unreleased_leases += thread->CountHeld();
+      unreleased += thread->CountHeld();
     }
   }
-  // The controllers give the leases on once they know that all is let go.
+  // The controllers grant the leases to other dispatchers once they have
+  // received the report that all are released.
   control.ReportAll();
 }
 
-// A planned stop: the balancer looks away first, then the dispatch leases go to
-// others, then the last requests are answered.
+// Graceful shutdown: the failing health check first makes the load balancer
+// stop sending requests, then the dispatch leases pass to other dispatchers,
+// and finally the last requests are answered.
 bool StopGracefully(const EntrySettings& settings,
                     EntryControl& control,
                     Threads& threads) {
@@ -66,12 +68,12 @@
   }
   boost::this_fiber::sleep_for(settings.m_stop_delay);
   ReleaseDispatchLeases(settings, control, threads);
-  bool clean = true;
+  bool all_answered = true;
   control.Stop();
   for (auto& thread : threads) {
-    clean = thread->Stop(settings.m_stop_timeout) && clean;
+    all_answered = thread->Stop(settings.m_stop_timeout) && all_answered;
   }
-  return clean;
+  return all_answered;
 }
 
 int Run(const EntrySettings& settings) {
@@ -98,9 +100,9 @@
   WaitForStopSignal(
       [&events] { events.Write(EventNumber::kSettingsKept, {}); });
   events.Write(EventNumber::kProcessStopping, {});
-  const bool clean = StopGracefully(settings, control, threads);
+  const bool all_answered = StopGracefully(settings, control, threads);
   events.Write(EventNumber::kProcessStopped, {});
-  return clean ? kExitDone : kExitTimeout;
+  return all_answered ? kExitDone : kExitTimeout;
 }
 
 }  // namespace
--- a/src/apps/foxtail_gateway.cc
+++ b/src/apps/foxtail_gateway.cc
@@ -15,8 +15,8 @@
 namespace foxtail {
 namespace {
 
-// A port of 0 or an address that is used twice would only show at the start, or
-// not at all.
+// Without this check, a port of 0 or an address that is used twice would be
+// detected only at the start, or not at all.
 int CheckSettings(const GatewaySettings& settings) {
   ProcessorShareOf(settings);
   const std::vector<std::pair<std::string, std::string>> addresses = {
@@ -66,11 +66,12 @@
       [&events] { events.Write(EventNumber::kSettingsKept, {}); });
   events.Write(EventNumber::kProcessStopping, {});
   control.Leave();
-  const bool clean = traffic.Stop();
+  const bool all_answered = traffic.Stop();
   events.Write(EventNumber::kProcessStopped, {});
   // Fibers of both threads may wait for the store or for timers for longer than
-  // the platform waits for the process; nothing of theirs is left to be done.
-  std::quick_exit(clean ? kExitDone : kExitTimeout);
+  // the platform waits for the process to end. These fibers have no work left,
+  // so the process exits without waiting for them.
+  std::quick_exit(all_answered ? kExitDone : kExitTimeout);
 }
 
 }  // namespace
--- a/src/apps/foxtail_timeline.cc
+++ b/src/apps/foxtail_timeline.cc
@@ -54,7 +54,7 @@
     command_line.parse(argc, argv);
     TimelineFilter filter;
     filter.m_numbers = {numbers.getValue().begin(), numbers.getValue().end()};
-    filter.m_value = value.getValue();
+    filter.m_field_value = value.getValue();
     filter.m_process = process.getValue();
     return PrintTimeline(files.getValue(), filter);
   } catch (const TCLAP::ExitException& help) {
--- a/src/apps/program.h
+++ b/src/apps/program.h
@@ -25,8 +25,8 @@
   kExitUnavailable = 5,
 };
 
-/// Reads settings and runs `body(settings)`. Prints one line and returns
-/// `kExitSettings` when a setting is wrong, before anything is started.
+/// Reads settings and calls `run(settings)`. When a setting is invalid, prints
+/// one line and returns `kExitSettings` before anything is started.
 template <typename Settings>
 int RunProgram(int argc,
                char** argv,
@@ -35,8 +35,9 @@
                const std::string& prefix,
                std::span<const SettingRow<Settings>> rows,
                const std::function<int(const Settings&)>& check,
-               const std::function<int(const Settings&)>& body) {
-  // Until the programs wait for it, the signal would end the process.
+               const std::function<int(const Settings&)>& run) {
+  // By default SIGHUP would end the process, so the signal is ignored until
+  // `WaitForStopSignal` handles it.
   std::signal(SIGHUP, SIG_IGN);
   Settings settings;
   std::vector<SettingSpec> specs = SpecsOf(rows, settings);
@@ -55,7 +56,7 @@
     }
     StoreSettings(rows, specs, settings);
     check(settings);
-    return body(settings);
+    return run(settings);
   } catch (const Error& error) {
     std::cerr << argv[0] << ": " << error.what() << "\n";
     return error.GetCode() == ErrorCode::kSettingInvalid ? kExitSettings
@@ -63,8 +64,8 @@
   }
 }
 
-/// Waits on the calling fiber until the process is asked to stop. A hang-up
-/// signal, which would end the process otherwise, calls `on_reload`.
+/// Suspends the calling fiber until the process receives SIGINT or SIGTERM.
+/// SIGHUP, which would end the process by default, calls `on_reload` instead.
 inline void WaitForStopSignal(const std::function<void()>& on_reload) {
   boost::asio::signal_set signals(ThreadIoContext(), SIGINT, SIGTERM, SIGHUP);
   int number = SIGHUP;
--- a/src/apps/standin_main.h
+++ b/src/apps/standin_main.h
@@ -9,8 +9,8 @@
 
 namespace foxtail {
 
-/// Serves HTTP on the calling thread until the process is asked to stop, and
-/// ends it. The fiber scheduler must be installed.
+/// Serves HTTP on the calling thread until the process receives SIGINT or
+/// SIGTERM, then exits the process. The fiber scheduler must be installed.
 [[noreturn]] inline void ServeStandin(const std::string& listen,
                                       size_t body_limit,
                                       HttpServer::Handler handler) {
@@ -22,7 +22,8 @@
   std::_Exit(kExitDone);
 }
 
-/// Checks the settings of a stand-in, which has one address of its own.
+/// Checks the settings of a stand-in. The listen address is the only one that
+/// is checked.
 template <typename Settings>
 int CheckStandinSettings(const Settings& settings) {
   ParseAddress(settings.m_listen);
--- a/src/runtime/address.h
+++ b/src/runtime/address.h
@@ -6,7 +6,7 @@
 
 namespace foxtail {
 
-/// An IP number and a port.
+/// An IP address and a TCP port.
 struct Address {
   std::string m_host;
   uint16_t m_port = 0;
@@ -15,7 +15,8 @@
   bool operator==(const Address&) const = default;
 };
 
-/// Reads "IP:PORT". Throws `Error(kSettingInvalid)` when it is anything else.
+/// Parses "IP:PORT". Throws `Error(kSettingInvalid)` when `text` has another
+/// format.
 Address ParseAddress(std::string_view text);
 
 }  // namespace foxtail
--- a/src/runtime/address_list.h
+++ b/src/runtime/address_list.h
@@ -5,8 +5,8 @@
 
 namespace foxtail {
 
-/// Splits "IP:PORT,IP:PORT". Throws `Error(kSettingInvalid)` when an element is
-/// no address or there is none.
+/// Parses "IP:PORT,IP:PORT". Throws `Error(kSettingInvalid)` when an element is
+/// not an address or the list is empty.
 std::vector<std::string> ParseAddressList(const std::string& list);
 
 }  // namespace foxtail
--- a/src/runtime/cancellation.h
+++ b/src/runtime/cancellation.h
@@ -6,11 +6,12 @@
 
 namespace foxtail {
 
-/// Tells work on one request that nobody waits for its answer any more. Belongs
-/// to one thread.
+/// Signals the work on one request that its client no longer waits for the
+/// response. Used by one thread only.
 class Cancellation {
  public:
-  /// Runs the action of the current scope, once.
+  /// Runs the action of the innermost `CancellationScope`. Further calls have
+  /// no effect.
   void Cancel() {
     if (std::exchange(m_cancelled, true)) {
       return;
@@ -29,8 +30,9 @@
   std::function<void()> m_action;
 };
 
-/// Sets the action of a cancellation for the lifetime of the scope. Accepts a
-/// null cancellation.
+/// Sets the action that `Cancellation::Cancel` runs during the lifetime of the
+/// scope, and restores the previous action at its end. `cancellation` may be
+/// null.
 class CancellationScope {
  public:
   CancellationScope(std::shared_ptr<Cancellation> cancellation,
--- a/src/runtime/cluster_request.cc
+++ b/src/runtime/cluster_request.cc
@@ -18,7 +18,8 @@
 
 void RequireClusterSecret(const HttpRequest& request,
                           const std::string& secret) {
-  // Digests are compared, so that timing tells nothing about the secret.
+  // Digests are compared instead of the secrets, so that the duration of the
+  // comparison reveals nothing about the secret.
   const std::string received_secret =
       request.m_headers.GetOr(kClusterHeader, "");
   if (SecretDigest(received_secret) != SecretDigest(secret)) {
--- a/src/runtime/cluster_request.h
+++ b/src/runtime/cluster_request.h
@@ -6,15 +6,17 @@
 
 namespace foxtail {
 
-/// Header by which the project's own processes know each other.
+/// Header field that holds the cluster secret in requests between the project's
+/// own processes.
 inline constexpr const char* kClusterHeader = "x-foxtail-cluster";
 
-/// Builds a POST between the project's own processes.
+/// Builds a POST request to another of the project's own processes.
 HttpRequest BuildClusterRequest(const std::string& target,
                                 const std::string& secret,
                                 std::string body);
 
-/// Throws `Error(kClusterSecretWrong)` unless the request shows the secret.
+/// Throws `Error(kClusterSecretWrong)` unless the request holds the cluster
+/// secret.
 void RequireClusterSecret(const HttpRequest& request,
                           const std::string& secret);
 
--- a/src/runtime/error_response.h
+++ b/src/runtime/error_response.h
@@ -11,13 +11,14 @@
 /// `error`, `execution`, `detail` and `brief`, and the header x-execution.
 HttpResponse ToErrorResponse(const Error& error);
 
-/// Calls the handler; an exception becomes its error response.
+/// Calls the handler and converts an exception into an error response. Any
+/// exception other than `Error` is reported as `kInternal`.
 HttpResponse HandleCatchingErrors(
     const std::function<HttpResponse(HttpRequest&)>& handler,
     HttpRequest& request);
 
-/// Rebuilds the error that a response of `ToErrorResponse` reports. Falls back
-/// to `fallback` when the body is something else.
+/// Returns the error that a response of `ToErrorResponse` reports, or an error
+/// with the code `fallback` when the body has another format.
 Error ParseErrorResponse(const HttpResponse& response, ErrorCode fallback);
 
 }  // namespace foxtail
--- a/src/runtime/fiber_event.h
+++ b/src/runtime/fiber_event.h
@@ -9,7 +9,7 @@
 
 namespace foxtail {
 
-/// Wakes fibers of one thread that wait for something to change.
+/// Lets fibers of one thread wait for a notification from that thread.
 class FiberEvent {
  public:
   /// Wakes all waiting fibers.
@@ -18,11 +18,12 @@
     m_condition.notify_all();
   }
 
-  /// Waits for a notification or until `until`.
+  /// Suspends the calling fiber until the next notification or until `until`.
   void WaitUntil(TimePoint until) {
-    const uint64_t seen = m_count;
+    const uint64_t count_before = m_count;
     std::unique_lock<boost::fibers::mutex> lock(m_mutex);
-    m_condition.wait_until(lock, until, [&] { return m_count != seen; });
+    m_condition.wait_until(lock, until,
+                           [&] { return m_count != count_before; });
   }
 
  private:
--- a/src/runtime/fiber_scheduler.cc
+++ b/src/runtime/fiber_scheduler.cc
@@ -11,17 +11,19 @@
 namespace foxtail {
 namespace {
 
-// Room for the deepest call and a signal frame of wide registers.
+// A stack holds the deepest call chain and a signal frame, which the wide
+// vector registers enlarge.
 constexpr size_t kStackSize = 64 * 1024;  // bytes
 
-// Network events are polled about once per this many fiber switches, so fibers
-// that are always ready cannot starve them.
+// Network events are polled about once per this many fiber switches, so that
+// fibers that are always ready cannot starve the handlers of these events.
 constexpr unsigned kPicksPerPoll = 16;
 
-// A fiber that is about to wait picks the next one itself, while it still holds
-// the lock of what it waits for. A handler that notified it would wait for that
-// lock for ever, so handlers run in the dispatcher's turns only.
-bool IsDispatcherActive() {
+// A fiber that is about to wait calls `pick_next` itself, while it still holds
+// the internal lock of the object that it waits for. An Asio handler that ran
+// at this point and notified that object would block on the lock forever, so
+// handlers run only while Boost.Fiber's dispatcher context is active.
+bool IsDispatcherContextActive() {
   return boost::fibers::context::active()->is_context(
       boost::fibers::type::dispatcher_context);
 }
@@ -43,7 +45,7 @@
 }
 
 boost::fibers::context* FiberScheduler::pick_next() noexcept {
-  if (++m_picks_since_poll >= kPicksPerPoll && IsDispatcherActive()) {
+  if (++m_picks_since_poll >= kPicksPerPoll && IsDispatcherContextActive()) {
     m_picks_since_poll = 0;
     m_io->poll();
   }
@@ -62,8 +64,8 @@
 void FiberScheduler::suspend_until(
     const std::chrono::steady_clock::time_point& until) noexcept {
   m_picks_since_poll = 0;
-  // One handler at most: the others that are ready run in the next calls,
-  // without another look at the descriptors in between.
+  // Runs one handler at most. Other ready handlers run in the next calls,
+  // without polling the descriptors again in between.
   if (until == std::chrono::steady_clock::time_point::max()) {
     m_io->run_one();
   } else {
@@ -77,11 +79,13 @@
 
 boost::asio::io_context& InstallFiberScheduler() {
   assert(thread_io == nullptr);
-  // The scheduler shares ownership and the thread's fibers end before it, so
-  // the context outlives them. A leaked work guard keeps `run_one` blocking.
+  // The scheduler shares ownership of the context, and the thread's fibers end
+  // before the scheduler, so the context outlives them. The work that is
+  // started here and never finished keeps `run_one` blocking while no operation
+  // is pending.
   auto io = std::make_shared<boost::asio::io_context>(1);
-  static thread_local std::shared_ptr<boost::asio::io_context> keep;
-  keep = io;
+  static thread_local std::shared_ptr<boost::asio::io_context> owner;
+  owner = io;
   io->get_executor().on_work_started();
   thread_io = io.get();
   boost::fibers::use_scheduling_algorithm<FiberScheduler>(io);
@@ -94,7 +98,8 @@
 }
 
 void StartFiber(std::function<void()> body) {
-  // Stacks are kept for the next fibers of the thread.
+  // The pool keeps the stacks of finished fibers for later fibers of this
+  // thread.
   thread_local boost::fibers::pooled_fixedsize_stack stacks(kStackSize);
   boost::fibers::fiber(std::allocator_arg, stacks, [body = std::move(body)] {
     try {
--- a/src/runtime/fiber_scheduler.h
+++ b/src/runtime/fiber_scheduler.h
@@ -31,17 +31,18 @@
 };
 
 /// Installs a `FiberScheduler` in this thread and returns its `io_context`,
-/// which outlives the thread's fibers. Must be called once, first, per thread.
+/// which outlives the thread's fibers. Must be called once per thread, before
+/// the thread uses any fiber.
 boost::asio::io_context& InstallFiberScheduler();
 
 /// Returns the `io_context` of this thread. The scheduler must be installed.
 boost::asio::io_context& ThreadIoContext();
 
-/// Starts a detached fiber. An exception that leaves `body` is passed to the
+/// Starts a detached fiber. An exception thrown by `body` is passed to the
 /// handler set with `SetFiberExceptionHandler`.
 void StartFiber(std::function<void()> body);
 
-/// Sets the handler of exceptions that leave a fiber, for all threads.
+/// Sets the handler of uncaught exceptions of fibers, for all threads.
 void SetFiberExceptionHandler(
     std::function<void(const std::exception&)> handler);
 
--- a/src/runtime/fiber_stream.cc
+++ b/src/runtime/fiber_stream.cc
@@ -12,15 +12,17 @@
   return failure;
 }
 
-// Most messages fit into the socket's buffer, so that writing needs no wait.
+// Most messages fit into the socket's send buffer, so an immediate write
+// completes without suspending the fiber.
 void FiberStream::EnableImmediateWrites() {
   ErrorCode ignored;
   m_socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   m_socket.non_blocking(true, ignored);
 }
 
-// An ordinary close goes on delivering what the system still holds, for as long
-// as a cut of the network lasts.
+// After an ordinary close the kernel keeps trying to deliver the data in its
+// buffers for as long as a network partition lasts, so old data could arrive
+// when the partition ends.
 void FiberStream::Abort() {
   ErrorCode ignored;
   m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -29,13 +31,13 @@
 
 bool FiberStream::IsOpenAndIdle() {
   char byte = 0;
-  const ssize_t got =
+  const ssize_t received =
       recv(m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// The operation refers to the caller's stack, so it is always waited for to its
-// end.
+// The completion handler refers to the stack of the calling fiber, so the fiber
+// always waits for the completion, even of a cancelled operation.
 void FiberStream::WaitFor(Operation& operation) {
   while (!operation.m_done && Clock::now() < m_deadline) {
     operation.m_event.WaitUntil(m_deadline);
--- a/src/runtime/fiber_stream.h
+++ b/src/runtime/fiber_stream.h
@@ -9,8 +9,9 @@
 
 namespace foxtail {
 
-/// A TCP connection for the library's synchronous algorithms: reads and writes
-/// suspend the calling fiber only, until they are done or the deadline passes.
+/// A TCP connection for Boost.Beast's synchronous algorithms. A read or write
+/// suspends only the calling fiber, until the operation completes or the
+/// deadline passes.
 class FiberStream {
  public:
   using Socket = boost::asio::ip::tcp::socket;
@@ -20,22 +21,25 @@
 
   Socket& GetSocket() { return m_socket; }
 
-  /// Sets when operations are given up; they fail with `timed_out` then.
+  /// Sets the deadline of the following operations. An operation that is not
+  /// complete by then is cancelled and fails with `timed_out`.
   void SetDeadline(TimePoint deadline) { m_deadline = deadline; }
 
   ErrorCode Connect(const boost::asio::ip::tcp::endpoint& endpoint);
 
-  /// To be called once connected, before the first write.
+  /// Disables Nagle's algorithm and makes the socket non-blocking, so that
+  /// writes are tried at once. Must be called once connected, before the first
+  /// write.
   void EnableImmediateWrites();
 
-  /// Closes the connection at once. What was written and has not arrived yet
-  /// never will.
+  /// Resets the connection. Data that was written and has not arrived yet is
+  /// discarded.
   void Abort();
 
-  /// Returns whether the connection is open and nothing waits to be read.
+  /// Returns whether the connection is open and has no unread input.
   bool IsOpenAndIdle();
 
-  // The names that the library asks for.
+  // Boost.Beast requires the names `read_some` and `write_some`.
   template <typename Buffers>
   size_t read_some(const Buffers& buffers, ErrorCode& failure) {  // NOLINT
     return Await(
@@ -67,7 +71,8 @@
   }
 
  private:
-  /// How an operation ended, and who waits for it.
+  /// Result of an asynchronous operation, and the event that its completion
+  /// notifies.
   struct Operation {
     FiberEvent m_event;
     bool m_done = false;
--- a/src/runtime/fiber_wait.h
+++ b/src/runtime/fiber_wait.h
@@ -6,9 +6,9 @@
 
 namespace foxtail {
 
-/// Lets the calling fiber wait for one Asio operation of its own thread. The
-/// handler never runs before the operation's initiating call returns, so the
-/// fiber is always suspended first.
+/// Lets the calling fiber wait for one Asio operation of its own thread. Asio
+/// never runs the handler before the call that initiates the operation returns,
+/// so the fiber is always suspended first.
 class FiberWait {
  public:
   FiberWait() : m_waiter(boost::fibers::context::active()) {}
@@ -46,8 +46,8 @@
   bool m_done = false;
 };
 
-/// Suspends the calling fiber until `until` or until `error` is set by the
-/// operation started by `start(handler)`; returns the operation's error.
+/// Calls `start(handler)`, which starts an Asio operation, and suspends the
+/// calling fiber until the operation completes. Returns the operation's error.
 template <typename Start>
 boost::system::error_code AwaitOperation(Start start) {
   FiberWait wait;
--- a/src/runtime/http_client.cc
+++ b/src/runtime/http_client.cc
@@ -25,13 +25,14 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-// A connection that went silent shows within about three seconds, which is the
-// time after which a host counts as out of touch.
+// Keep-alive probes detect a broken connection within about three seconds,
+// which is the time after which a host counts as unreachable.
 constexpr int kKeepAliveIdle = 1;      // seconds
 constexpr int kKeepAliveInterval = 1;  // seconds
 constexpr int kKeepAliveProbes = 2;
 
-// Idle connections are given up this long before the other side would.
+// An idle connection is no longer used from this long before the server's idle
+// timeout.
 constexpr std::chrono::seconds kKeepAliveMargin{1};
 
 void SetOption(tcp::socket& socket, int level, int name, int value) {
@@ -97,7 +98,8 @@
 struct HttpClient::Connection {
   explicit Connection(asio::io_context& io) : m_stream(tcp::socket(io)) {}
 
-  // An idle connection must be silent: readable means closed or out of step.
+  // Input on an idle connection means that the server closed it or that its
+  // responses no longer match its requests.
   bool IsUsable() { return m_buffer.size() == 0 && m_stream.IsOpenAndIdle(); }
 
   FiberStream m_stream;
@@ -175,7 +177,7 @@
   }
   result.m_progress = ExchangeProgress::kMaybeSent;
   const CancellationScope scope(request.m_cancellation, [&connection] {
-    // Closing tells the other side to stop working on the request.
+    // Closing the connection tells the server to stop working on the request.
     connection->m_stream.Abort();
   });
   connection->m_stream.SetDeadline(deadline);
@@ -187,8 +189,9 @@
     http::read(connection->m_stream, connection->m_buffer, parser, failure);
   }
   if (failure) {
-    // A late answer must never meet a new request, nor a given-up order a
-    // server that comes back into reach.
+    // The connection is reset, so that a late response is never taken for the
+    // response to a later request, and a cancelled or timed-out call never
+    // arrives at a server that becomes reachable again.
     connection->m_stream.Abort();
     result.m_timed_out = failure == asio::error::timed_out;
     return result;
--- a/src/runtime/http_client.h
+++ b/src/runtime/http_client.h
@@ -11,57 +11,60 @@
 
 namespace foxtail {
 
-/// How far a failed exchange got. Only `kNothingSent` proves that the other
-/// side cannot have seen the request.
+/// Whether a failed exchange may have sent its request. Only `kNothingSent`
+/// proves that the server cannot have received the request.
 enum class ExchangeProgress {
   kNothingSent,
   kMaybeSent,
 };
 
-/// Outcome of one exchange: a response, or how far it got.
+/// Result of one exchange: a response, or why and at which point the exchange
+/// failed.
 struct ExchangeResult {
   bool m_ok = false;
   bool m_timed_out = false;
 
-  /// The other side has no listener on the port, so its process is gone.
+  /// No process listens on the port, so the server's process is gone.
   bool m_connection_refused = false;
   ExchangeProgress m_progress = ExchangeProgress::kNothingSent;
   HttpResponse m_response;
 };
 
-/// What an exchange asks for beyond its request.
+/// Options of one exchange.
 struct ExchangeOptions {
-  /// Runs after the connection is made and immediately before the first byte is
-  /// written; when it returns false nothing is sent.
+  /// Called once the connection is open, immediately before the first byte is
+  /// written. When it returns false, nothing is sent.
   std::function<bool()> m_before_send = nullptr;
 
-  /// Returns whether the response belongs to the request. If not, the
-  /// connection is out of step and is not used again.
+  /// Returns whether the response belongs to the request. If not, the responses
+  /// on the connection no longer match its requests, and the connection is not
+  /// used again.
   std::function<bool(const HttpResponse&)> m_matches_request = nullptr;
 
-  /// Takes no idle connection: a late second answer to an earlier sending of
-  /// the same request could not be told from the answer to this one.
+  /// Opens a new connection instead of reusing an idle one. On a reused
+  /// connection, a late second response to an earlier attempt of the same
+  /// request could not be told from the response to this attempt.
   bool m_force_new_connection = false;
 };
 
 /// Limits of an `HttpClient`.
 struct HttpClientSettings {
-  /// Most idle connections kept per address.
+  /// Maximum number of idle connections kept per address.
   size_t m_max_idle_connections = 64;
 
-  /// Longest time a connection is kept idle. A shorter timeout that the other
-  /// side states in `Keep-Alive` goes first.
+  /// Maximum time that a connection is kept idle. A shorter timeout that the
+  /// server states in `Keep-Alive` takes precedence.
   Duration m_max_idle_time = std::chrono::seconds(60);
 
-  /// Longest time for a new connection, within the deadline.
+  /// Time limit for opening a connection, within the deadline of the exchange.
   Duration m_connect_timeout = std::chrono::seconds(5);
 
-  /// Largest accepted response body, bytes.
+  /// Maximum size of a response body, bytes.
   size_t m_body_limit = 64 * 1024 * 1024;
 };
 
 /// HTTP/1.1 client with a pool of idle connections per address, on the fibers
-/// of one thread. It never repeats a request by itself.
+/// of one thread. The client never retries a request on its own.
 class HttpClient {
  public:
   explicit HttpClient(const HttpClientSettings& settings = {});
@@ -71,15 +74,16 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   /// Sends a request and reads the whole response by `deadline`. When the
-  /// request's cancellation is triggered the connection is closed. A request
-  /// without a Host field gets the address.
+  /// request's cancellation is triggered, the connection is closed. A request
+  /// without a Host field is sent with `address` as its Host.
   ExchangeResult Exchange(const Address& address,
                           const HttpRequest& request,
                           TimePoint deadline,
                           const ExchangeOptions& options = {});
 
-  /// As above, but throws: `Error(kNetwork)`, with execution "not run" when
-  /// nothing was sent, or `Error(kDeadlineExceeded)`.
+  /// Like `Exchange`, but throws `Error(kDeadlineExceeded)` after a timeout and
+  /// `Error(kNetwork)` after any other failure. The execution state of the
+  /// error is `kNotRun` when nothing was sent, otherwise `kUnknown`.
   HttpResponse Call(const Address& address,
                     const HttpRequest& request,
                     Duration timeout);
--- a/src/runtime/http_message.cc
+++ b/src/runtime/http_message.cc
@@ -6,8 +6,8 @@
 namespace foxtail {
 namespace {
 
-// Without a locale, unlike the general comparison, which takes half of the
-// processor time of a refused request.
+// Boost.Beast compares without a locale. A comparison with a locale takes half
+// of the processor time of a rejected request.
 auto HasName(std::string_view name) {
   return [name](const HttpHeader& field) {
     return boost::beast::iequals(field.m_name, name);
--- a/src/runtime/http_message.h
+++ b/src/runtime/http_message.h
@@ -10,7 +10,7 @@
 
 namespace foxtail {
 
-/// One header field; names are compared without regard to case.
+/// One header field. Names are case-insensitive.
 struct HttpHeader {
   std::string m_name;
   std::string m_value;
@@ -22,7 +22,7 @@
   /// Returns the value of the first field with this name, or nothing.
   std::optional<std::string> Get(std::string_view name) const;
 
-  /// Returns the value of the field, or an empty string.
+  /// Returns the value of the first field with this name, or `fallback`.
   std::string GetOr(std::string_view name, std::string_view fallback) const;
 
   /// Replaces all fields with this name by one.
@@ -34,7 +34,7 @@
   /// Appends a field.
   void Add(std::string_view name, std::string_view value);
 
-  /// Returns how many fields have this name.
+  /// Returns the number of fields with this name.
   size_t Count(std::string_view name) const;
 
   const std::vector<HttpHeader>& All() const { return m_fields; }
@@ -43,25 +43,27 @@
   std::vector<HttpHeader> m_fields;
 };
 
-/// A complete HTTP request, free of any library's types.
+/// A complete HTTP request, independent of the HTTP library.
 struct HttpRequest {
   std::string m_method = "GET";
   std::string m_target = "/";
   HttpHeaders m_headers;
   std::string m_body;
 
-  /// Triggered when the client leaves before it was answered; may be null.
+  /// Triggered when the client disconnects before the request is answered; may
+  /// be null.
   std::shared_ptr<Cancellation> m_cancellation;
 };
 
-/// A complete HTTP response, free of any library's types.
+/// A complete HTTP response, independent of the HTTP library.
 struct HttpResponse {
   int m_status = 200;
   HttpHeaders m_headers;
   std::string m_body;
   bool m_close_connection = false;
 
-  /// Drop the connection instead of answering; for stand-ins of failures.
+  /// Closes the connection without a response: after the client has
+  /// disconnected, or when a test stand-in simulates a failure.
   bool m_drop_connection = false;
 };
 
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -25,7 +25,7 @@
 using boost::system::error_code;
 using Parser = http::request_parser<http::string_body>;
 
-constexpr std::chrono::milliseconds kStopPollPeriod{5};
+constexpr std::chrono::milliseconds kPollPeriod{5};
 
 // Most requests fit into one read.
 constexpr size_t kFirstReadSize = 4096;  // bytes
@@ -33,9 +33,9 @@
 using ReusePort =
     asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-// Requests with more than one framing, no Host field, a transfer coding other
-// than "chunked" alone, or two values for a singular field are refused, so that
-// no two hops can disagree on where a request ends.
+// Requests with more than one framing, a transfer coding other than "chunked"
+// alone, no Host field, or a repeated field that must be single are rejected,
+// so that no two hops can disagree on where a request ends.
 bool HasAmbiguousFraming(const Parser::value_type& message) {
   const auto codings = message.count(http::field::transfer_encoding);
   const auto lengths = message.count(http::field::content_length);
@@ -107,8 +107,9 @@
 
 }  // namespace
 
-// A read is always pending while a connection is idle or its request is being
-// answered: it brings the next request, or tells that the client has left.
+// While a connection is idle or its request is being handled, a read is always
+// pending. The read receives the next request or detects that the client has
+// disconnected.
 struct HttpServer::Connection
     : public std::enable_shared_from_this<HttpServer::Connection> {
   explicit Connection(tcp::socket socket) : m_stream(std::move(socket)) {
@@ -152,7 +153,7 @@
   error_code m_read_failure;
   FiberEvent m_read_finished;
 
-  /// Of the request that is being answered.
+  /// Cancellation of the request that is being handled; otherwise null.
   std::shared_ptr<Cancellation> m_cancellation;
   bool m_request_in_flight = false;
 };
@@ -199,8 +200,9 @@
     const error_code failure = AwaitOperation(
         [&](auto handler) { m_acceptor.async_accept(socket, handler); });
     if (failure) {
-      // Out of descriptors or similar: wait a little rather than spin.
-      boost::this_fiber::sleep_for(kStopPollPeriod);
+      // The process may have run out of descriptors. The pause keeps this loop
+      // from spinning.
+      boost::this_fiber::sleep_for(kPollPeriod);
       continue;
     }
     if (m_stopping || m_connections.size() >= m_settings.m_connection_limit) {
@@ -228,7 +230,8 @@
   Parser parser;
   parser.header_limit(static_cast<uint32_t>(m_settings.m_header_limit));
   parser.body_limit(m_settings.m_body_limit);
-  // The first bytes may take the idle timeout, the rest the read timeout.
+  // The idle timeout limits the wait for the first bytes, the read timeout the
+  // rest of the request.
   if (!connection.AwaitRequest(Clock::now() + m_settings.m_idle_timeout)) {
     return false;
   }
@@ -296,7 +299,7 @@
     if (m_connections.empty() && !m_accepting) {
       return true;
     }
-    boost::this_fiber::sleep_for(kStopPollPeriod);
+    boost::this_fiber::sleep_for(kPollPeriod);
   }
   return false;
 }
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -13,19 +13,21 @@
 
 /// Limits of an `HttpServer`.
 struct HttpServerSettings {
-  /// Largest accepted header block, bytes.
+  /// Maximum size of the header block of a request, bytes.
   size_t m_header_limit = 16 * 1024;
 
-  /// Largest accepted body, bytes.
+  /// Maximum size of a request body, bytes.
   size_t m_body_limit = 1024 * 1024;
 
-  /// Most connections at once; one more is closed at once.
+  /// Maximum number of open connections. Further connections are closed as soon
+  /// as they are accepted.
   size_t m_connection_limit = 4096;
 
-  /// Longest time a caller may take to send one whole request.
+  /// Time limit for receiving a whole request from its first bytes on, and
+  /// again for sending its response.
   Duration m_read_timeout = std::chrono::seconds(10);
 
-  /// Longest time a connection may wait for its next request.
+  /// Maximum time that a connection waits for its next request.
   Duration m_idle_timeout = std::chrono::seconds(60);
 
   /// Whether several listeners may share the port.
@@ -38,7 +40,8 @@
  public:
   using Handler = std::function<HttpResponse(HttpRequest&)>;
 
-  /// Binds the address. Throws `Error(kSettingInvalid)` when it is in use.
+  /// Binds the address. Throws `Error(kSettingInvalid)` when the address cannot
+  /// be bound.
   HttpServer(const Address& address,
              const HttpServerSettings& settings,
              Handler handler);
@@ -47,13 +50,14 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Starts accepting in a fiber and returns at once.
+  /// Starts a fiber that accepts connections, and returns at once.
   void Start();
 
   /// Replaces the limits for requests that are read from now on.
   void SetLimits(const HttpServerSettings& settings) { m_settings = settings; }
 
-  /// Answers from now on with `Connection: close`; goes on accepting.
+  /// Adds `Connection: close` to all further responses. Connections are still
+  /// accepted.
   void StartDraining() { m_draining = true; }
 
   /// Stops accepting, answers requests in progress, closes idle connections and
@@ -61,7 +65,8 @@
   /// were closed.
   bool Stop(Duration timeout);
 
-  /// Port in use; differs from the requested one when that was 0.
+  /// Returns the bound port, which differs from the requested one when that was
+  /// 0.
   uint16_t GetPort() const;
 
   size_t GetConnectionCount() const { return m_connections.size(); }
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -8,8 +8,9 @@
 
 namespace foxtail {
 
-/// A bounded queue of calls into the thread that runs `Loop`. Any fiber of any
-/// thread may post; it waits while the queue is full.
+/// A bounded queue of calls that run on the thread that executes `Loop`. Any
+/// fiber of any thread may post; the posting fiber waits while the queue is
+/// full.
 class Mailbox {
  public:
   Mailbox() : m_calls(kCapacity) {}
@@ -23,7 +24,7 @@
     }
   }
 
-  /// Queues a call; dropped after `Close`.
+  /// Queues a call. After `Close` the call is dropped.
   void Post(std::function<void()> call) { m_calls.push(std::move(call)); }
 
   /// Queues a call and waits for its result. The loop must be running.
--- a/src/runtime/rpc_client.cc
+++ b/src/runtime/rpc_client.cc
@@ -15,27 +15,28 @@
       : m_transport(transport) {}
 
   // The declared exception specification would terminate the process on any
-  // other exception, so a transport failure is carried past it.
+  // other exception, so an exception of the transport is stored here and
+  // rethrown by `CallRpc`.
   void SendRPCMessage(const std::string& message, std::string& result) throw(
       jsonrpc::JsonRpcException) override {
     try {
       result = m_transport(message);
     } catch (...) {
-      m_failure = std::current_exception();
+      m_transport_failure = std::current_exception();
       throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_CLIENT_CONNECTOR,
                                       "transport");
     }
   }
 
   void RethrowTransportFailure() const {
-    if (m_failure) {
-      std::rethrow_exception(m_failure);
+    if (m_transport_failure) {
+      std::rethrow_exception(m_transport_failure);
     }
   }
 
  private:
   const RpcTransport& m_transport;
-  std::exception_ptr m_failure;
+  std::exception_ptr m_transport_failure;
 };
 
 }  // namespace
--- a/src/runtime/rpc_client.h
+++ b/src/runtime/rpc_client.h
@@ -10,9 +10,9 @@
 /// Sends one JSON-RPC request body and returns the response body; may throw.
 using RpcTransport = std::function<std::string(const std::string&)>;
 
-/// Calls a JSON-RPC method. Returns whether the other side answered with a
-/// result; otherwise `failure` says what it answered. Exceptions of the
-/// transport pass through.
+/// Calls a JSON-RPC method. Returns whether the server responded with a result;
+/// otherwise `failure` receives the message of the JSON-RPC error. Exceptions
+/// of the transport propagate to the caller.
 bool CallRpc(const RpcTransport& transport,
              const std::string& method,
              const Json::Value& parameters,
--- a/src/runtime/rpc_server.h
+++ b/src/runtime/rpc_server.h
@@ -6,8 +6,8 @@
 
 namespace foxtail {
 
-/// Connects a JSON-RPC server of the library to HTTP bodies that arrive by
-/// other means; it owns no thread and no socket.
+/// Passes bodies of HTTP requests to a JSON-RPC server of libjson-rpc-cpp. The
+/// connector owns no thread and no socket.
 class RpcConnector : public jsonrpc::AbstractServerConnector {
  public:
   bool StartListening() override { return true; }
--- a/src/timeline/timeline.cc
+++ b/src/timeline/timeline.cc
@@ -13,7 +13,8 @@
 
 using std::chrono::milliseconds;
 
-// An event that can only happen after another one, as told by a shared field.
+// An effect that can only happen after its cause. The two events have the same
+// value in a field.
 struct CausalityRule {
   EventNumber m_cause;
   EventNumber m_effect;
@@ -53,8 +54,8 @@
   return true;
 }
 
-// For each process, how far its clock must be set forward so that no effect
-// stands before its cause.
+// Returns how far the clock of each process must be set forward so that no
+// effect precedes its cause.
 std::map<std::string, milliseconds> ClockCorrections(
     const std::vector<TimelineEvent>& events) {
   std::map<std::string, milliseconds> corrections;
@@ -118,9 +119,9 @@
   if (!filter.m_process.empty() && filter.m_process != event.m_process) {
     return false;
   }
-  return filter.m_value.empty() ||
+  return filter.m_field_value.empty() ||
          std::ranges::any_of(event.m_fields, [&](const auto& field) {
-           return field.second == filter.m_value;
+           return field.second == filter.m_field_value;
          });
 }
 
--- a/src/timeline/timeline.h
+++ b/src/timeline/timeline.h
@@ -11,12 +11,12 @@
 
 namespace foxtail {
 
-/// One event as read from a process's log.
+/// One event that was read from the log of a process.
 struct TimelineEvent {
-  /// Wall time of the process that wrote it.
+  /// Wall time by the clock of the process that wrote the event.
   WallTime m_written_at;
 
-  /// Wall time after the correction of the process's clock.
+  /// Wall time after the correction of that clock.
   WallTime m_corrected_at;
   std::string m_process;
   uint64_t m_sequence = 0;
@@ -25,28 +25,30 @@
   std::map<std::string, std::string> m_fields;
 };
 
-/// Which events to show; empty members show all.
+/// Selects the events to show. An empty member selects all events.
 struct TimelineFilter {
   std::set<int> m_numbers;
 
-  /// Events in which any field has this value.
-  std::string m_value;
+  /// Selects events in which any field has this value.
+  std::string m_field_value;
 
-  /// Events of this process.
+  /// Selects events of this process.
   std::string m_process;
 };
 
-/// Reads JSON lines of events; returns how many lines were not understood.
+/// Reads events, one JSON object a line, and appends them to `events`. Returns
+/// the number of lines that are not events.
 size_t ReadEvents(std::istream& stream, std::vector<TimelineEvent>& events);
 
-/// Orders the events of all processes. Each process's own order is kept, and a
-/// clock that shows an effect before its cause is set forward.
+/// Sorts the events of all processes by corrected time, then by process and
+/// sequence number. The clock of a process that shows an effect before its
+/// cause is set forward.
 void OrderEvents(std::vector<TimelineEvent>& events);
 
-/// Returns whether a filter shows an event.
+/// Returns whether the filter selects the event.
 bool Matches(const TimelineFilter& filter, const TimelineEvent& event);
 
-/// Formats an event as one line; times are relative to `start`.
+/// Formats an event as one line, with its time relative to `start`.
 std::string FormatEvent(const TimelineEvent& event, WallTime start);
 
 }  // namespace foxtail
--- a/tests/runtime/fiber_stream_test.cc
+++ b/tests/runtime/fiber_stream_test.cc
@@ -33,21 +33,24 @@
   FiberStream m_far{tcp::socket(ThreadIoContext())};
 };
 
-// Found when handlers began to notify fibers: a handler that ran while a fiber
-// was about to wait for the same event waited for that event's lock for ever.
+// Guards against a deadlock: an Asio handler that ran while a fiber was about
+// to wait for an event, and notified the same event, blocked on the lock of
+// that event forever.
 TEST(FiberSchedulerTest, HandlersNotifyFibersThatAreAboutToWait) {
   constexpr int kRounds = 20'000;
   FiberEvent event;
   int handled = 0;
   bool stop = false;
-  // A fiber that is always ready makes the scheduler poll between switches.
+  // A fiber that is always ready makes the scheduler poll for handlers between
+  // fiber switches.
   StartFiber([&stop] {
     while (!stop) {
       boost::this_fiber::yield();
     }
   });
   while (handled < kRounds) {
-    // The scheduler polls at each sixteenth switch; each round meets another.
+    // The scheduler polls at every sixteenth fiber switch. The varying number
+    // of switches makes the poll happen at a different point in each round.
     for (int i = 0; i < handled % 17; ++i) {
       boost::this_fiber::yield();
     }
@@ -62,7 +65,7 @@
   EXPECT_EQ(handled, kRounds);
 }
 
-TEST(FiberStreamTest, AReadEndsAtItsDeadline) {
+TEST(FiberStreamTest, ReadTimesOutAtDeadline) {
   StreamPair pair;
   char byte = 0;
   error_code failure;
@@ -71,7 +74,7 @@
   EXPECT_EQ(failure, boost::asio::error::timed_out);
 }
 
-TEST(FiberStreamTest, AWriteWaitsForASlowReader) {
+TEST(FiberStreamTest, WriteWaitsForSlowReader) {
   StreamPair pair;
   const std::string sent(8 * 1024 * 1024, 'x');
   size_t received = 0;
@@ -100,9 +103,10 @@
   EXPECT_EQ(received, sent.size());
 }
 
-// Found on a hunted day (OWNER): a renewal that a cut of the network had held
-// up arrived seconds after it was given up, when another server owned the keys.
-TEST(FiberStreamTest, AnExchangeThatIsGivenUpDeliversNothingLater) {
+// Guards against a failure found by fault injection (OWNER): a grant renewal
+// that a network partition had delayed arrived seconds after the client had
+// given it up, when another server already owned the keys.
+TEST(FiberStreamTest, TimedOutExchangeDeliversNothingLater) {
   tcp::acceptor acceptor(
       ThreadIoContext(),
       tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
@@ -118,33 +122,35 @@
   while (!failure) {
     server.read_some(boost::asio::buffer(buffer), failure);
   }
-  // A reset drops what is under way; an ordinary end would follow it.
+  // A reset discards data in transit; an ordinary close would be delivered
+  // after the data.
   EXPECT_EQ(failure, boost::asio::error::connection_reset);
 }
 
-/// A server whose handler waits until the client has left, or half a second.
-class DepartureTest : public testing::Test {
+/// A server whose handler waits until the client has disconnected, for half a
+/// second at most.
+class ClientDisconnectTest : public testing::Test {
  protected:
-  DepartureTest()
+  ClientDisconnectTest()
       : m_server({"127.0.0.1", 0},
                  HttpServerSettings(),
                  [this](HttpRequest& request) { return Serve(request); }) {
     m_server.Start();
   }
 
-  ~DepartureTest() override { m_server.Stop(seconds(1)); }
+  ~ClientDisconnectTest() override { m_server.Stop(seconds(1)); }
 
   HttpResponse Serve(const HttpRequest& request) {
     const TimePoint started = Clock::now();
-    FiberEvent left;
+    FiberEvent disconnected;
     const CancellationScope scope(request.m_cancellation,
-                                  [&left] { left.Notify(); });
+                                  [&disconnected] { disconnected.Notify(); });
     if (!request.m_cancellation->IsCancelled()) {
-      left.WaitUntil(started + milliseconds(500));
+      disconnected.WaitUntil(started + milliseconds(500));
     }
-    m_left = request.m_cancellation->IsCancelled();
-    m_waited = Clock::now() - started;
-    ++m_served;
+    m_client_disconnected = request.m_cancellation->IsCancelled();
+    m_wait_time = Clock::now() - started;
+    ++m_served_requests;
     return HttpResponse();
   }
 
@@ -154,15 +160,15 @@
     ASSERT_FALSE(failure);
   }
 
-  bool AwaitServed(int count) {
+  bool AwaitServedRequests(int count) {
     const TimePoint until = Clock::now() + seconds(5);
-    while (m_served < count && Clock::now() < until) {
+    while (m_served_requests < count && Clock::now() < until) {
       boost::this_fiber::sleep_for(milliseconds(2));
     }
-    return m_served == count;
+    return m_served_requests == count;
   }
 
-  FiberStream Connected() {
+  FiberStream ConnectClient() {
     FiberStream stream{tcp::socket(ThreadIoContext())};
     stream.GetSocket().connect(
         {boost::asio::ip::address_v4::loopback(), m_server.GetPort()});
@@ -171,51 +177,52 @@
   }
 
   HttpServer m_server;
-  bool m_left = false;
-  Duration m_waited{};
-  int m_served = 0;
+  bool m_client_disconnected = false;
+  Duration m_wait_time{};
+  int m_served_requests = 0;
 };
 
 constexpr const char* kRequest = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-TEST_F(DepartureTest, AClosedConnectionCancelsItsRequest) {
-  FiberStream client = Connected();
+TEST_F(ClientDisconnectTest, ClosedConnectionCancelsRequest) {
+  FiberStream client = ConnectClient();
   Send(client, kRequest);
   boost::this_fiber::sleep_for(milliseconds(30));
   client.GetSocket().close();
-  ASSERT_TRUE(AwaitServed(1));
-  EXPECT_TRUE(m_left);
-  EXPECT_LT(m_waited, milliseconds(400));
+  ASSERT_TRUE(AwaitServedRequests(1));
+  EXPECT_TRUE(m_client_disconnected);
+  EXPECT_LT(m_wait_time, milliseconds(400));
 }
 
-// The close lies in the buffer behind the request when the request is read.
-TEST_F(DepartureTest, ARequestWhoseClientHasLeftAlreadyIsCancelledAtOnce) {
-  FiberStream client = Connected();
+// The end of the connection is already in the receive buffer, behind the
+// request, when the request is read.
+TEST_F(ClientDisconnectTest, RequestOfDisconnectedClientIsCancelledAtOnce) {
+  FiberStream client = ConnectClient();
   Send(client, kRequest);
   client.GetSocket().close();
-  ASSERT_TRUE(AwaitServed(1));
-  EXPECT_TRUE(m_left);
-  EXPECT_LT(m_waited, milliseconds(100));
+  ASSERT_TRUE(AwaitServedRequests(1));
+  EXPECT_TRUE(m_client_disconnected);
+  EXPECT_LT(m_wait_time, milliseconds(100));
 }
 
-TEST_F(DepartureTest, ANextRequestIsNoDeparture) {
-  FiberStream client = Connected();
+TEST_F(ClientDisconnectTest, PipelinedRequestDoesNotCancel) {
+  FiberStream client = ConnectClient();
   Send(client, std::string(kRequest) + kRequest);
-  ASSERT_TRUE(AwaitServed(2));
-  EXPECT_FALSE(m_left);
+  ASSERT_TRUE(AwaitServedRequests(2));
+  EXPECT_FALSE(m_client_disconnected);
 }
 
-/// A server whose answers name the connection they came over.
-class OutOfStepTest : public testing::Test {
+/// A server whose responses hold the number of its open connections.
+class ConnectionReuseTest : public testing::Test {
  protected:
-  OutOfStepTest()
+  ConnectionReuseTest()
       : m_server({"127.0.0.1", 0}, HttpServerSettings(), [this](HttpRequest&) {
           return Serve();
         }) {
     m_server.Start();
   }
 
-  ~OutOfStepTest() override { m_server.Stop(seconds(1)); }
+  ~ConnectionReuseTest() override { m_server.Stop(seconds(1)); }
 
   HttpResponse Serve() {
     HttpResponse response;
@@ -223,8 +230,8 @@
     return response;
   }
 
-  // Returns how many connections are open after an exchange.
-  std::string Connections(const ExchangeOptions& options) {
+  // Returns how many connections are open during an exchange.
+  std::string ExchangeAndCountConnections(const ExchangeOptions& options) {
     return m_client
         .Exchange({"127.0.0.1", m_server.GetPort()}, HttpRequest(),
                   Clock::now() + seconds(1), options)
@@ -235,32 +242,33 @@
   HttpClient m_client;
 };
 
-TEST_F(OutOfStepTest, ASoundConnectionIsUsedAgain) {
-  EXPECT_EQ(Connections({}), "1");
-  EXPECT_EQ(Connections({}), "1");
+TEST_F(ConnectionReuseTest, IdleConnectionIsReused) {
+  EXPECT_EQ(ExchangeAndCountConnections({}), "1");
+  EXPECT_EQ(ExchangeAndCountConnections({}), "1");
 }
 
-// Found on a hunted day (MIXED): a server sent a spoiled answer and then the
-// right one. The request was sent again on the same connection and got the
-// answer to its first sending, which bore its id.
-TEST_F(OutOfStepTest, AConnectionWithAnAnswerOfAnotherRequestIsClosed) {
+// Guards against a failure found by fault injection (MIXED): a server sent a
+// corrupted response and then the correct one. The retry on the same connection
+// received the second response to the first attempt, which carried the same
+// request id.
+TEST_F(ConnectionReuseTest, ConnectionWithMismatchedResponseIsClosed) {
   bool rejected = false;
   ExchangeOptions options;
   options.m_matches_request = [&rejected](const HttpResponse&) {
     return std::exchange(rejected, true);
   };
-  EXPECT_EQ(Connections(options), "1");
+  EXPECT_EQ(ExchangeAndCountConnections(options), "1");
   const TimePoint until = Clock::now() + seconds(2);
   while (m_server.GetConnectionCount() > 0 && Clock::now() < until) {
     boost::this_fiber::sleep_for(milliseconds(2));
   }
   EXPECT_EQ(m_server.GetConnectionCount(), 0U);
-  EXPECT_EQ(Connections(options), "1");
+  EXPECT_EQ(ExchangeAndCountConnections(options), "1");
 }
 
-TEST_F(OutOfStepTest, ASecondSendingTakesANewConnection) {
-  EXPECT_EQ(Connections({}), "1");
-  EXPECT_EQ(Connections({.m_force_new_connection = true}), "2");
+TEST_F(ConnectionReuseTest, ForcedNewConnectionIsOpened) {
+  EXPECT_EQ(ExchangeAndCountConnections({}), "1");
+  EXPECT_EQ(ExchangeAndCountConnections({.m_force_new_connection = true}), "2");
 }
 
 }  // namespace
--- a/tests/timeline/timeline_test.cc
+++ b/tests/timeline/timeline_test.cc
@@ -30,9 +30,9 @@
   event.m_fields = {{"server", "catalogue-1"}};
   TimelineFilter filter;
   EXPECT_TRUE(Matches(filter, event));
-  filter.m_value = "catalogue-1";
+  filter.m_field_value = "catalogue-1";
   EXPECT_TRUE(Matches(filter, event));
-  filter.m_value = "catalogue";
+  filter.m_field_value = "catalogue";
   EXPECT_FALSE(Matches(filter, event));
   filter = {};
   filter.m_numbers = {311};
