--- a/src/runtime/http_client.cc
+++ b/src/runtime/http_client.cc
@@ -31,8 +31,8 @@
 constexpr int kKeepAliveInterval = 1;  // seconds
 constexpr int kKeepAliveProbes = 2;
 
-// An idle connection is no longer used from this long before the server's idle
-// timeout.
+// The use of an idle connection ends this long before the idle timeout that the
+// server states.
 constexpr std::chrono::seconds kKeepAliveMargin{1};
 
 void SetOption(tcp::socket& socket, int level, int name, int value) {
