--- a/src/apps/foxtail_control.cc
+++ b/src/apps/foxtail_control.cc
@@ -11,7 +11,7 @@
 #include "messages/codec.h"
 #include "platform/platform_table_store.h"
 #include "runtime/address_list.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/http_server.h"
 #include "store/table_record_repository.h"
 
@@ -22,7 +22,7 @@
 
 constexpr milliseconds kHelloPeriod{500};
 constexpr milliseconds kHelloTimeout{300};
-constexpr double kLeaseMargin = 1.05;
+constexpr double kMinLeaseTakeFactor = 1.05;
 constexpr size_t kControlBodyLimit = 16 * 1024 * 1024;  // bytes
 
 int CheckSettings(const DaemonSettings& settings) {
@@ -35,8 +35,8 @@
                 "--placement = '" + settings.m_placement +
                     "'; allowed: bounded, rendezvous");
   }
-  const auto least = settings.m_lease_ttl * kLeaseMargin;
-  if (settings.m_takeover_delay < least) {
+  const auto min_lease_take = settings.m_lease_ttl * kMinLeaseTakeFactor;
+  if (settings.m_takeover_delay < min_lease_take) {
     throw Error(ErrorCode::kSettingInvalid,
                 "--lease-take = '" +
                     std::to_string(settings.m_takeover_delay.count()) +
@@ -52,12 +52,13 @@
   return response;
 }
 
-// The HTTP front of a control process; it only decodes and encodes.
-class ControlFront {
+// The HTTP front end of a control process, which only decodes requests and
+// encodes responses.
+class ControlFrontEnd {
  public:
-  ControlFront(const DaemonSettings& settings,
-               ControlLoop& loop,
-               OperatorService& operators)
+  ControlFrontEnd(const DaemonSettings& settings,
+                  ControlLoop& loop,
+                  OperatorService& operators)
       : m_settings(settings),
         m_loop(loop),
         m_rpc(m_connector, loop, operators) {}
@@ -66,7 +67,7 @@
     if (request.m_method == "GET") {
       return HandleGet(request);
     }
-    RequireCluster(request, m_settings.m_cluster_secret);
+    RequireClusterSecret(request, m_settings.m_cluster_secret);
     if (request.m_target == "/sync") {
       SyncRequest message;
       DecodeMessage(request.m_body, message);
@@ -115,10 +116,11 @@
   ControlRpc m_rpc;
 };
 
-// Greets the other control processes, so that each knows who may stand by.
-void GreetPeers(const DaemonSettings& settings,
-                ControlLoop& loop,
-                const bool& stopping) {
+// Sends a hello call to every other control process each `kHelloPeriod`, so
+// that each process knows which others are available as standbys.
+void StartPeerHellos(const DaemonSettings& settings,
+                     ControlLoop& loop,
+                     const bool& stopping) {
   static HttpClient client;
   const ControlRpcClient rpc(client, settings.m_cluster_secret, kHelloTimeout);
   for (const std::string& address : ParseAddressList(settings.m_peers)) {
@@ -131,7 +133,7 @@
           const PeerResponse peer = rpc.Hello(address);
           loop.RecordPeer(peer.m_peer, peer.m_data_centre);
         } catch (const Error&) {
-          // A silent peer is forgotten after a while.
+          // The control loop forgets a peer that has not responded for a while.
         }
         boost::this_fiber::sleep_for(kHelloPeriod);
       }
@@ -141,7 +143,7 @@
 
 int Run(const DaemonSettings& settings) {
   EventLog events("control@" + settings.m_listen, settings.m_log_file);
-  SetFiberFailureHandler([&events](const std::exception& failure) {
+  SetFiberExceptionHandler([&events](const std::exception& failure) {
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
@@ -149,15 +151,15 @@
   TableRecordRepository store(rows, settings.m_platform_timeout);
   ControlLoop loop(settings, {RandomToken(), settings.m_listen}, store, events);
   OperatorService operators(loop, store, events);
-  ControlFront front(settings, loop, operators);
+  ControlFrontEnd front_end(settings, loop, operators);
   HttpServerSettings server_settings;
   server_settings.m_body_limit = kControlBodyLimit;
   HttpServer server(
       ParseAddress(settings.m_listen), server_settings,
-      [&front](HttpRequest& request) { return front.Handle(request); });
+      [&front_end](HttpRequest& request) { return front_end.Handle(request); });
   server.Start();
   bool stopping = false;
-  GreetPeers(settings, loop, stopping);
+  StartPeerHellos(settings, loop, stopping);
   events.Write(EventNumber::kProcessStarted, {{"address", settings.m_listen}});
   StartFiber([&] {
     WaitForStopSignal(
@@ -168,7 +170,8 @@
   });
   loop.Run();
   events.Write(EventNumber::kProcessStopped, {});
-  // Connections of long waits are cut; their senders ask another process.
+  // Exiting closes the connections of pending long polls; their clients then
+  // poll another control process.
   std::_Exit(kExitDone);
 }
 
--- a/src/apps/foxtail_entry.cc
+++ b/src/apps/foxtail_entry.cc
@@ -16,14 +16,14 @@
 
 constexpr milliseconds kStopPollPeriod{10};
 
-void RequireWord(const std::string& flag,
-                 const std::string& value,
-                 const std::string& one,
-                 const std::string& other) {
-  if (value != one && value != other) {
-    throw Error(
-        ErrorCode::kSettingInvalid,
-        "--" + flag + " = '" + value + "'; allowed: " + one + ", " + other);
+void RequireOneOf(const std::string& flag,
+                  const std::string& value,
+                  const std::string& first_allowed,
+                  const std::string& second_allowed) {
+  if (value != first_allowed && value != second_allowed) {
+    throw Error(ErrorCode::kSettingInvalid, "--" + flag + " = '" + value +
+                                                "'; allowed: " + first_allowed +
+                                                ", " + second_allowed);
   }
 }
 
@@ -31,33 +31,35 @@
   ParseAddress(settings.m_listen);
   ParseAddress(settings.m_internal);
   ParseAddressList(settings.m_control);
-  RequireWord("queue", settings.m_queue, "fair", "fifo");
-  RequireWord("limit", settings.m_limit, "ramp", "fixed");
-  RequireWord("share", settings.m_share, "demand", "fixed");
+  RequireOneOf("queue", settings.m_queue, "fair", "fifo");
+  RequireOneOf("limit", settings.m_limit, "ramp", "fixed");
+  RequireOneOf("share", settings.m_share, "demand", "fixed");
   return kExitDone;
 }
 
 using Threads = std::vector<std::unique_ptr<TrafficThread>>;
 
-void LetGoOfLeases(const EntrySettings& settings,
-                   EntryControl& control,
-                   Threads& threads) {
+void ReleaseDispatchLeases(const EntrySettings& settings,
+                           EntryControl& control,
+                           Threads& threads) {
   control.BeginShutdown();
   const TimePoint until = Clock::now() + settings.m_stop_timeout;
-  size_t held = 1;
-  while (held > 0 && Clock::now() < until) {
+  size_t unreleased = 1;
+  while (unreleased > 0 && Clock::now() < until) {
     boost::this_fiber::sleep_for(kStopPollPeriod);
-    held = 0;
+    unreleased = 0;
     for (auto& thread : threads) {
-      held += thread->CountUnreleased();
+      unreleased += thread->CountUnreleased();
     }
   }
-  // The controllers give the leases on once they know that all is let go.
+  // The controllers grant the leases to other dispatchers once they have
+  // received the report that all are released.
   control.ReportAll();
 }
 
-// A planned stop: the balancer looks away first, then the dispatch leases go to
-// others, then the last requests are answered.
+// Graceful shutdown: the failing health check first makes the load balancer
+// stop sending requests, then the dispatch leases pass to other dispatchers,
+// and finally the last requests are answered.
 bool StopGracefully(const EntrySettings& settings,
                     EntryControl& control,
                     Threads& threads) {
@@ -65,18 +67,18 @@
     thread->FailHealth();
   }
   boost::this_fiber::sleep_for(settings.m_stop_delay);
-  LetGoOfLeases(settings, control, threads);
-  bool clean = true;
+  ReleaseDispatchLeases(settings, control, threads);
+  bool all_answered = true;
   control.Stop();
   for (auto& thread : threads) {
-    clean = thread->Stop(settings.m_stop_timeout) && clean;
+    all_answered = thread->Stop(settings.m_stop_timeout) && all_answered;
   }
-  return clean;
+  return all_answered;
 }
 
 int Run(const EntrySettings& settings) {
   EventLog events("entry@" + settings.m_listen, settings.m_log_file);
-  SetFiberFailureHandler([&events](const std::exception& failure) {
+  SetFiberExceptionHandler([&events](const std::exception& failure) {
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
@@ -98,9 +100,9 @@
   WaitForStopSignal(
       [&events] { events.Write(EventNumber::kSettingsKept, {}); });
   events.Write(EventNumber::kProcessStopping, {});
-  const bool clean = StopGracefully(settings, control, threads);
+  const bool all_answered = StopGracefully(settings, control, threads);
   events.Write(EventNumber::kProcessStopped, {});
-  return clean ? kExitDone : kExitTimeout;
+  return all_answered ? kExitDone : kExitTimeout;
 }
 
 }  // namespace
--- a/src/apps/foxtail_gateway.cc
+++ b/src/apps/foxtail_gateway.cc
@@ -15,8 +15,8 @@
 namespace foxtail {
 namespace {
 
-// A port of 0 or an address that is used twice would only show at the start, or
-// not at all.
+// Without this check, a port of 0 or an address that is used twice would be
+// detected only at the start, or not at all.
 int CheckSettings(const GatewaySettings& settings) {
   ParseProcessorShare(settings);
   const std::vector<std::pair<std::string, std::string>> addresses = {
@@ -25,38 +25,40 @@
       {"internal", settings.m_internal},
       {"metrics", settings.m_metrics},
       {"store", settings.m_store}};
-  std::string faults;
-  std::map<std::string, std::string> seen;
+  std::string errors;
+  std::map<std::string, std::string> flag_of_address;
   for (const auto& [flag, address] : addresses) {
     if (ParseAddress(address).m_port == 0) {
-      faults += "--" + flag + " = '" + address + "': port 0; ";
+      errors += "--" + flag + " = '" + address + "': port 0; ";
     }
-    const auto [other, added] = seen.emplace(address, flag);
+    const auto [other_flag, added] = flag_of_address.emplace(address, flag);
     if (!added) {
-      faults += "--" + flag + " = '" + address + "': the address of --" +
-                other->second + "; ";
+      errors += "--" + flag + " = '" + address + "': the address of --" +
+                other_flag->second + "; ";
     }
   }
-  if (!faults.empty()) {
+  if (!errors.empty()) {
     throw Error(ErrorCode::kSettingInvalid,
-                faults + "allowed: different addresses with ports");
+                errors + "allowed: different addresses with ports");
   }
   return kExitDone;
 }
 
 int Run(const GatewaySettings& settings) {
   EventLog events("gateway@" + settings.m_listen, settings.m_log_file);
-  SetFiberFailureHandler([&events](const std::exception& failure) {
+  SetFiberExceptionHandler([&events](const std::exception& failure) {
     events.Write(EventNumber::kInternalFailure, {{"error", failure.what()}});
   });
   InstallFiberScheduler();
   const OperatorRowsDecoder decoder;
-  const PlatformFrontEnd front;
-  const Address store = ParseAddress(settings.m_store);
-  GatewayTrafficThread traffic(settings, front, events);
+  const PlatformFrontEnd front_end;
+  const Address store_address = ParseAddress(settings.m_store);
+  GatewayTrafficThread traffic(settings, front_end, events);
   ControlThread control(
       settings, decoder,
-      {[store] { return std::make_unique<PlatformTableStore>(store); },
+      {[store_address] {
+         return std::make_unique<PlatformTableStore>(store_address);
+       },
        [] { return std::make_unique<ServerControlClient>(); }},
       traffic, events);
   traffic.Start(control);
@@ -66,11 +68,12 @@
       [&events] { events.Write(EventNumber::kSettingsKept, {}); });
   events.Write(EventNumber::kProcessStopping, {});
   control.BeginShutdown();
-  const bool clean = traffic.Stop();
+  const bool all_answered = traffic.Stop();
   events.Write(EventNumber::kProcessStopped, {});
   // Fibers of both threads may wait for the store or for timers for longer than
-  // the platform waits for the process; nothing of theirs is left to be done.
-  std::quick_exit(clean ? kExitDone : kExitTimeout);
+  // the platform waits for the process to end. These fibers have no work left,
+  // so the process exits without waiting for them.
+  std::quick_exit(all_answered ? kExitDone : kExitTimeout);
 }
 
 }  // namespace
--- a/src/entry/client_handler.cc
+++ b/src/entry/client_handler.cc
@@ -114,7 +114,7 @@
                     context.m_query.m_workspace);
   } catch (const Error& error) {
     RecordFailure(context, error);
-    response = ErrorResponse(error);
+    response = ToErrorResponse(error);
   }
   response.m_headers.Set(kClientRequestIdHeader, context.m_query.m_id.m_text);
   m_metrics.Observe("foxtail_request_seconds", "workspace",
@@ -288,7 +288,7 @@
                         context.m_query.m_deadline + kResponseMargin);
   if (result.m_ok) {
     if (result.m_response.m_headers.Get(kErrorHeader)) {
-      throw ErrorOfResponse(result.m_response, ErrorCode::kDispatcherLost);
+      throw ParseErrorResponse(result.m_response, ErrorCode::kDispatcherLost);
     }
     return BuildClientResponse(std::move(result.m_response));
   }
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -6,7 +6,7 @@
 #include "core/error.h"
 #include "messages/codec.h"
 #include "runtime/address_list.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 #include "runtime/fiber_scheduler.h"
 
 namespace foxtail {
@@ -83,7 +83,7 @@
   TrafficThread& thread = *m_threads[reporter.m_thread];
   SyncRequest report = thread.BuildReport(reporter.m_cell);
   report.m_shutting_down = m_shutting_down;
-  const HttpRequest http_request = ClusterRequest(
+  const HttpRequest http_request = BuildClusterRequest(
       "/sync", m_settings.m_cluster_secret, EncodeMessage(report));
   const TimePoint sent = Clock::now();
   SyncResponse response;
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -5,7 +5,7 @@
 
 #include "core/error.h"
 #include "messages/codec.h"
-#include "runtime/cluster_call.h"
+#include "runtime/cluster_request.h"
 
 namespace foxtail {
 namespace {
@@ -91,7 +91,7 @@
   request.m_dispatcher = m_identity;
   request.m_demands = m_budget.BuildDemands(sent);
   const HttpRequest http_request =
-      ClusterRequest("/tokens", m_cluster_secret, EncodeMessage(request));
+      BuildClusterRequest("/tokens", m_cluster_secret, EncodeMessage(request));
   TokenResponse response;
   try {
     const HttpResponse http_response = m_client.Call(
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -13,8 +13,8 @@
 // Backend servers close idle connections after some seconds. The shorter limit
 // here keeps requests off connections that are about to close.
 constexpr HttpClientSettings kClientSettings{
-    .m_pool_limit = 16,
-    .m_idle_limit = std::chrono::seconds(6),
+    .m_max_idle_connections = 16,
+    .m_max_idle_time = std::chrono::seconds(6),
     .m_connect_timeout = milliseconds(300)};
 
 // How long after the deadline that the server received a response is still
@@ -414,11 +414,11 @@
       {server.m_id, context.WorkspaceName(), context.m_deadline - started_at});
   ServerResponse server_response;
   ExchangeOptions options;
-  options.m_belongs = [&](const HttpResponse& received) {
+  options.m_matches_request = [&](const HttpResponse& received) {
     server_response = m_front_end.Classify(context.m_request, received);
     return server_response.m_kind != ResponseKind::kInvalid;
   };
-  options.m_new_connection = context.m_attempts > 1;
+  options.m_force_new_connection = context.m_attempts > 1;
   ExchangeResult result =
       m_client.Exchange(server.m_address, forwarded,
                         context.m_deadline + kResponseMargin, options);
--- a/src/runtime/error_response.h
+++ b/src/runtime/error_response.h
@@ -9,15 +9,16 @@
 
 /// Builds the response that reports an error: its status, a JSON body with
 /// `error`, `execution`, `detail` and `brief`, and the header x-execution.
-HttpResponse ErrorResponse(const Error& error);
+HttpResponse ToErrorResponse(const Error& error);
 
-/// Calls the handler; an exception becomes its error response.
-HttpResponse HandleOrExplain(
+/// Calls the handler and converts an exception into an error response. Any
+/// exception other than `Error` is reported as `kInternal`.
+HttpResponse HandleCatchingErrors(
     const std::function<HttpResponse(HttpRequest&)>& handler,
     HttpRequest& request);
 
-/// Rebuilds the error that a response of `ErrorResponse` reports. Falls back to
-/// `fallback` when the body is something else.
-Error ErrorOfResponse(const HttpResponse& response, ErrorCode fallback);
+/// Returns the error that a response of `ToErrorResponse` reports, or an error
+/// with the code `fallback` when the body has another format.
+Error ParseErrorResponse(const HttpResponse& response, ErrorCode fallback);
 
 }  // namespace foxtail
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -25,24 +25,24 @@
 using boost::system::error_code;
 using Parser = http::request_parser<http::string_body>;
 
-constexpr std::chrono::milliseconds kStopPollPeriod{5};
+constexpr std::chrono::milliseconds kPollPeriod{5};
 
 // Most requests fit into one read.
-constexpr size_t kFirstRead = 4096;  // bytes
+constexpr size_t kFirstReadSize = 4096;  // bytes
 
 using ReusePort =
     asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-// Requests with more than one framing, no Host field, a transfer coding other
-// than "chunked" alone, or two values for a singular field are refused, so that
-// no two hops can disagree on where a request ends.
+// Requests with more than one framing, a transfer coding other than "chunked"
+// alone, no Host field, or a repeated field that must be single are rejected,
+// so that no two hops can disagree on where a request ends.
 bool HasAmbiguousFraming(const Parser::value_type& message) {
   const auto codings = message.count(http::field::transfer_encoding);
   const auto lengths = message.count(http::field::content_length);
-  const bool odd_coding =
+  const bool unsupported_coding =
       codings > 0 && !boost::beast::iequals(
                          message[http::field::transfer_encoding], "chunked");
-  return odd_coding || codings > 1 || (codings > 0 && lengths > 0) ||
+  return unsupported_coding || codings > 1 || (codings > 0 && lengths > 0) ||
          lengths > 1 || message.count(http::field::host) != 1 ||
          message.count(http::field::authorization) > 1;
 }
@@ -75,7 +75,7 @@
   return message;
 }
 
-ErrorCode CodeOfReadFailure(const error_code& failure) {
+ErrorCode ErrorCodeOfReadFailure(const error_code& failure) {
   if (failure == http::error::header_limit) {
     return ErrorCode::kHeaderTooLarge;
   }
@@ -107,8 +107,9 @@
 
 }  // namespace
 
-// A read is always pending while a connection is idle or its request is being
-// answered: it brings the next request, or tells that the client has left.
+// While a connection is idle or its request is being handled, a read is always
+// pending. The read receives the next request or detects that the client has
+// disconnected.
 struct HttpServer::Connection
     : public std::enable_shared_from_this<HttpServer::Connection> {
   explicit Connection(tcp::socket socket) : m_stream(std::move(socket)) {
@@ -121,7 +122,7 @@
     }
     m_reading = true;
     m_stream.GetSocket().async_read_some(
-        m_buffer.prepare(kFirstRead),
+        m_buffer.prepare(kFirstReadSize),
         [self = shared_from_this()](const error_code& failure, size_t bytes) {
           self->OnRead(failure, bytes);
         });
@@ -131,7 +132,7 @@
     m_reading = false;
     m_read_failure = failure;
     m_buffer.commit(bytes);
-    m_read_done.Notify();
+    m_read_finished.Notify();
     if (failure && m_cancellation) {
       m_cancellation->Cancel();
     }
@@ -141,7 +142,7 @@
   bool AwaitRequest(TimePoint until) {
     StartRead();
     while (m_reading && Clock::now() < until) {
-      m_read_done.WaitUntil(until);
+      m_read_finished.WaitUntil(until);
     }
     return !m_reading && !m_read_failure;
   }
@@ -150,11 +151,11 @@
   beast::flat_buffer m_buffer;
   bool m_reading = false;
   error_code m_read_failure;
-  FiberEvent m_read_done;
+  FiberEvent m_read_finished;
 
-  /// Of the request that is being answered.
+  /// Cancellation of the request that is being handled; otherwise null.
   std::shared_ptr<Cancellation> m_cancellation;
-  bool m_in_request = false;
+  bool m_request_in_flight = false;
 };
 
 HttpServer::HttpServer(const Address& address,
@@ -162,7 +163,7 @@
                        Handler handler)
     : m_settings(settings),
       m_handler(std::move(handler)),
-      m_acceptor(ThreadIo()) {
+      m_acceptor(ThreadIoContext()) {
   const tcp::endpoint endpoint(asio::ip::make_address(address.m_host),
                                address.m_port);
   error_code failure;
@@ -195,12 +196,13 @@
 
 void HttpServer::AcceptLoop() {
   while (!m_stopping) {
-    tcp::socket socket(ThreadIo());
+    tcp::socket socket(ThreadIoContext());
     const error_code failure = AwaitOperation(
         [&](auto handler) { m_acceptor.async_accept(socket, handler); });
     if (failure) {
-      // Out of descriptors or similar: wait a little rather than spin.
-      boost::this_fiber::sleep_for(kStopPollPeriod);
+      // The process may have run out of descriptors. The pause keeps this loop
+      // from spinning.
+      boost::this_fiber::sleep_for(kPollPeriod);
       continue;
     }
     if (m_stopping || m_connections.size() >= m_settings.m_connection_limit) {
@@ -209,30 +211,31 @@
     auto connection = std::make_shared<Connection>(std::move(socket));
     m_connections.push_back(connection.get());
     StartFiber([this, connection] {
-      Serve(*connection);
+      ServeConnection(*connection);
       m_connections.remove(connection.get());
     });
   }
   m_accepting = false;
 }
 
-void HttpServer::Serve(Connection& connection) {
-  while (!m_stopping && ServeOne(connection)) {
+void HttpServer::ServeConnection(Connection& connection) {
+  while (!m_stopping && ServeRequest(connection)) {
   }
   error_code ignored;
   connection.m_stream.GetSocket().shutdown(tcp::socket::shutdown_both, ignored);
   connection.m_stream.GetSocket().close(ignored);
 }
 
-bool HttpServer::ServeOne(Connection& connection) {
+bool HttpServer::ServeRequest(Connection& connection) {
   Parser parser;
   parser.header_limit(static_cast<uint32_t>(m_settings.m_header_limit));
   parser.body_limit(m_settings.m_body_limit);
-  // The first bytes may take the idle timeout, the rest the read timeout.
+  // The idle timeout limits the wait for the first bytes, the read timeout the
+  // rest of the request.
   if (!connection.AwaitRequest(Clock::now() + m_settings.m_idle_timeout)) {
     return false;
   }
-  connection.m_in_request = true;
+  connection.m_request_in_flight = true;
   FiberStream& stream = connection.m_stream;
   stream.SetDeadline(Clock::now() + m_settings.m_read_timeout);
   error_code failure;
@@ -249,51 +252,54 @@
   HttpResponse response;
   bool keep_alive = false;
   if (failure) {
-    response = ErrorResponse(Error(CodeOfReadFailure(failure)));
+    response = ToErrorResponse(Error(ErrorCodeOfReadFailure(failure)));
   } else if (HasAmbiguousFraming(parser.get())) {
-    response = ErrorResponse(Error(ErrorCode::kRequestMalformed));
+    response = ToErrorResponse(Error(ErrorCode::kRequestMalformed));
   } else {
     keep_alive = parser.get().keep_alive();
     HttpRequest request = ToRequest(parser.release());
-    response = Handle(connection, request);
+    response = HandleRequest(connection, request);
   }
-  if (response.m_drop) {
+  if (response.m_drop_connection) {
     return false;
   }
-  keep_alive = keep_alive && !response.m_close && !m_stopping && !m_draining;
+  keep_alive =
+      keep_alive && !response.m_close_connection && !m_stopping && !m_draining;
   auto message = ToMessage(std::move(response), keep_alive);
   stream.SetDeadline(Clock::now() + m_settings.m_read_timeout);
   http::write(stream, message, failure);
-  connection.m_in_request = false;
+  connection.m_request_in_flight = false;
   return !failure && keep_alive;
 }
 
-HttpResponse HttpServer::Handle(Connection& connection, HttpRequest& request) {
+HttpResponse HttpServer::HandleRequest(Connection& connection,
+                                       HttpRequest& request) {
   request.m_cancellation = std::make_shared<Cancellation>();
   connection.m_cancellation = request.m_cancellation;
   connection.StartRead();
-  HttpResponse response = HandleOrExplain(m_handler, request);
+  HttpResponse response = HandleCatchingErrors(m_handler, request);
   connection.m_cancellation.reset();
-  response.m_drop = response.m_drop || request.m_cancellation->IsCancelled();
+  response.m_drop_connection =
+      response.m_drop_connection || request.m_cancellation->IsCancelled();
   return response;
 }
 
-bool HttpServer::Stop(Duration deadline) {
+bool HttpServer::Stop(Duration timeout) {
   m_stopping = true;
   error_code ignored;
   m_acceptor.cancel(ignored);
   m_acceptor.close(ignored);
-  const TimePoint until = Clock::now() + deadline;
+  const TimePoint until = Clock::now() + timeout;
   while (Clock::now() < until) {
     for (Connection* connection : m_connections) {
-      if (!connection->m_in_request) {
+      if (!connection->m_request_in_flight) {
         connection->m_stream.GetSocket().cancel(ignored);
       }
     }
     if (m_connections.empty() && !m_accepting) {
       return true;
     }
-    boost::this_fiber::sleep_for(kStopPollPeriod);
+    boost::this_fiber::sleep_for(kPollPeriod);
   }
   return false;
 }
