--- a/benchmarks/measure.cc
+++ b/benchmarks/measure.cc
@@ -1,5 +1,6 @@
-// Measures the brief's figures with real processes and stand-ins on loopback.
-// Load, seeds and run times are fixed; each scenario prints one table.
+// RunMeasures the brief's figures with real processes and stand-ins on
+// loopback. LoadGenerator, seeds and run times are fixed; each scenario prints
+// one table.
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -14,7 +15,7 @@
 
 #include "core/json.h"
 #include "runtime/fiber_scheduler.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -28,12 +29,13 @@
   return ToSeconds(duration) * 1000;
 }
 
-// Latencies of successful answers in milliseconds, sorted.
-std::vector<double> Latencies(const std::vector<TestAnswer>& answers) {
+// Latencies of successful responses in milliseconds, sorted.
+std::vector<double> Latencies(const std::vector<TestResponse>& responses) {
   std::vector<double> values;
-  for (const TestAnswer& answer : answers) {
-    if (answer.m_status == kStatusOk) {
-      values.push_back(Milliseconds(answer.m_answered - answer.m_sent));
+  for (const TestResponse& response : responses) {
+    if (response.m_status == kStatusOk) {
+      values.push_back(
+          Milliseconds(response.m_received_at - response.m_sent_at));
     }
   }
   std::ranges::sort(values);
@@ -50,17 +52,17 @@
 }
 
 // The brief's measures of one run.
-struct Measures {
-  size_t m_answers = 0;
+struct RunMeasures {
+  size_t m_responses = 0;
   size_t m_failed = 0;
   size_t m_rate_refused = 0;
   double m_p50 = 0;
   double m_p99 = 0;
   double m_p999 = 0;
-  double m_longest_gap = 0;
+  double m_longest_outage = 0;
   double m_imbalance = 0;
   uint64_t m_churn = 0;
-  double m_worst_workspace = 1;
+  double m_worst_workspace_success = 1;
 };
 
 // Largest number of effects at a server relative to the mean of its service's
@@ -73,7 +75,7 @@
     size_t total = 0;
     size_t most = 0;
     for (const RunRecord& record : records) {
-      if (record.m_what == "effect" && record.m_service == service.m_name) {
+      if (record.m_event == "effect" && record.m_service == service.m_name) {
         most = std::max(most, ++counts[record.m_server]);
         ++total;
       }
@@ -97,12 +99,12 @@
   return churn;
 }
 
-// Share of successful answers of the workspace that fares worst.
-double WorstWorkspace(const std::vector<TestAnswer>& answers) {
+// Share of successful responses of the workspace that fares worst.
+double WorstWorkspaceSuccess(const std::vector<TestResponse>& responses) {
   std::map<std::string, std::pair<size_t, size_t>> counts;
-  for (const TestAnswer& answer : answers) {
-    auto& [good, all] = counts[answer.m_request.m_workspace];
-    good += answer.m_status == kStatusOk;
+  for (const TestResponse& response : responses) {
+    auto& [good, all] = counts[response.m_request.m_workspace];
+    good += response.m_status == kStatusOk;
     ++all;
   }
   double worst = 1;
@@ -113,25 +115,25 @@
   return worst;
 }
 
-Measures MeasuresOf(Cluster& cluster,
-                    const std::vector<TestAnswer>& answers,
-                    const std::vector<TestService>& services) {
-  Measures measures;
-  measures.m_answers = answers.size();
-  for (const TestAnswer& answer : answers) {
-    measures.m_failed += answer.m_status != kStatusOk;
-    measures.m_rate_refused += answer.m_error == "rate_exceeded";
+RunMeasures ComputeMeasures(Cluster& cluster,
+                            const std::vector<TestResponse>& responses,
+                            const std::vector<TestService>& services) {
+  RunMeasures measures;
+  measures.m_responses = responses.size();
+  for (const TestResponse& response : responses) {
+    measures.m_failed += response.m_status != kStatusOk;
+    measures.m_rate_refused += response.m_error == "rate_exceeded";
   }
-  const std::vector<double> latencies = Latencies(answers);
+  const std::vector<double> latencies = Latencies(responses);
   measures.m_p50 = Quantile(latencies, 0.5);
   measures.m_p99 = Quantile(latencies, 0.99);
   measures.m_p999 = Quantile(latencies, 0.999);
-  measures.m_longest_gap = Milliseconds(LongestGap(answers));
+  measures.m_longest_outage = Milliseconds(LongestKeyOutage(responses));
   for (const TestService& service : services) {
     measures.m_churn += ChurnOf(cluster, service.m_name);
   }
   measures.m_imbalance = ImbalanceOf(cluster.ReadRecords(), services);
-  measures.m_worst_workspace = WorstWorkspace(answers);
+  measures.m_worst_workspace_success = WorstWorkspaceSuccess(responses);
   return measures;
 }
 
@@ -143,13 +145,13 @@
       "gap ms", "imbal", "churn", "worst");
 }
 
-void Print(const std::string& name, const Measures& m) {
+void Print(const std::string& name, const RunMeasures& m) {
   fmt::print(
       "{:<34} {:>7} {:>6} {:>7} {:>7.2f} {:>7.2f} {:>8.2f} {:>8.0f} "
       "{:>6.2f} {:>6} {:>6.1f}%\n",
-      name, m.m_answers, m.m_failed, m.m_rate_refused, m.m_p50, m.m_p99,
-      m.m_p999, m.m_longest_gap, m.m_imbalance, m.m_churn,
-      m.m_worst_workspace * 100);
+      name, m.m_responses, m.m_failed, m.m_rate_refused, m.m_p50, m.m_p99,
+      m.m_p999, m.m_longest_outage, m.m_imbalance, m.m_churn,
+      m.m_worst_workspace_success * 100);
   std::fflush(stdout);
 }
 
@@ -196,10 +198,10 @@
   return settings;
 }
 
-LoadSettings LoadFor(const ClusterSettings& settings) {
+LoadSettings LoadSettingsFor(const ClusterSettings& settings) {
   LoadSettings load;
   load.m_fibers = 24;
-  load.m_pause = milliseconds(10);
+  load.m_request_interval = milliseconds(10);
   load.m_keys = 200;
   load.m_hosts.clear();
   for (uint32_t i = 0; i < settings.m_hosts; ++i) {
@@ -216,38 +218,39 @@
   return load;
 }
 
-using Fault = std::function<void(Cluster&, Load&)>;
+using Fault = std::function<void(Cluster&, LoadGenerator&)>;
 
 // Runs one cluster under load with a fault after a second.
-Measures RunOnce(const ClusterSettings& settings,
-                 const LoadSettings& load_settings,
-                 const Fault& fault,
-                 Duration after) {
+RunMeasures RunOnce(const ClusterSettings& settings,
+                    const LoadSettings& load_settings,
+                    const Fault& fault,
+                    Duration after) {
   Cluster cluster(settings);
   cluster.Start();
-  Load load(cluster, load_settings);
+  LoadGenerator load(cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(seconds(1));
   fault(cluster, load);
   boost::this_fiber::sleep_for(after);
   load.Stop();
-  return MeasuresOf(cluster, load.GetAnswers(), settings.m_services);
+  return ComputeMeasures(cluster, load.GetResponses(), settings.m_services);
 }
 
-void NoFault(Cluster&, Load&) {}
+void InjectNoFault(Cluster&, LoadGenerator&) {}
 
-void LeaveAndReturn(Cluster& cluster, const std::string& data_centre) {
-  cluster.Change(
+void RemoveAndRestoreDataCentre(Cluster& cluster,
+                                const std::string& data_centre) {
+  cluster.ConfirmChange(
       {{"kind", "data_centre"}, {"name", data_centre}, {"state", "leaving"}});
   boost::this_fiber::sleep_for(seconds(4));
-  cluster.Change(
+  cluster.ConfirmChange(
       {{"kind", "data_centre"}, {"name", data_centre}, {"state", "serving"}});
 }
 
-void SlowForMoments(Cluster& cluster, const std::string& service) {
+void SlowServersBriefly(Cluster& cluster, const std::string& service) {
   for (int i = 0; i < 12; ++i) {
     const std::string name = service + "-" + std::to_string(i % 6 + 1);
-    cluster.Backend(name, "{\"slow_factor\": 10, \"slow_ms\": 200}");
+    cluster.CallBackend(name, "{\"slow_factor\": 10, \"slow_ms\": 200}");
     boost::this_fiber::sleep_for(milliseconds(300));
   }
 }
@@ -273,11 +276,11 @@
     direct.push_back(Milliseconds(Clock::now() - start));
   }
   std::ranges::sort(direct);
-  std::vector<TestAnswer> answers;
+  std::vector<TestResponse> responses;
   for (int i = 0; i < 3000; ++i) {
-    answers.push_back(SendRequest(cluster, client, TestRequest()));
+    responses.push_back(SendRequest(cluster, client, TestRequest()));
   }
-  const std::vector<double> through = Latencies(answers);
+  const std::vector<double> through = Latencies(responses);
   fmt::print("{:<28} {:>9} {:>9}\n", "one caller", "p50 ms", "p99 ms");
   fmt::print("{:<28} {:>9.3f} {:>9.3f}\n", "direct to the stand-in",
              Quantile(direct, 0.5), Quantile(direct, 0.99));
@@ -286,9 +289,9 @@
   LoadSettings load_settings;
   load_settings.m_hosts = {0};
   load_settings.m_fibers = 64;
-  load_settings.m_pause = milliseconds(0);
-  load_settings.m_orders = 0;
-  Load load(cluster, load_settings);
+  load_settings.m_request_interval = milliseconds(0);
+  load_settings.m_non_idempotent_percent = 0;
+  LoadGenerator load(cluster, load_settings);
   const TimePoint start = Clock::now();
   const auto before = cluster.Entry(0).ReadUsage();
   load.Start();
@@ -302,7 +305,7 @@
       rate);
   fmt::print("processor time of the entry a request: {:.0f} us\n",
              static_cast<double>((after.m_cpu - before.m_cpu).count()) * 1000 /
-                 static_cast<double>(load.GetAnswers().size()));
+                 static_cast<double>(load.GetResponses().size()));
 }
 
 // What control costs each daemon while nothing happens, at Rosario's size.
@@ -337,61 +340,70 @@
 
 void MeasureRosario() {
   const ClusterSettings settings = Rosario();
-  const LoadSettings load = LoadFor(settings);
+  const LoadSettings load = LoadSettingsFor(settings);
   PrintHeader();
-  Print("rosario, no fault", RunOnce(settings, load, &NoFault, seconds(6)));
+  Print("rosario, no fault",
+        RunOnce(settings, load, &InjectNoFault, seconds(6)));
   Print("rosario, data centre out and back",
         RunOnce(
             settings, load,
-            [](Cluster& cluster, Load&) { LeaveAndReturn(cluster, "tejo-2"); },
+            [](Cluster& cluster, LoadGenerator&) {
+              RemoveAndRestoreDataCentre(cluster, "tejo-2");
+            },
             seconds(4)));
   Print("rosario, server killed",
         RunOnce(
             settings, load,
-            [](Cluster& cluster, Load&) {
+            [](Cluster& cluster, LoadGenerator&) {
               cluster.BackendProcess("catalogue-3").Kill();
             },
             seconds(5)));
-  Print("rosario, host killed", RunOnce(
-                                    settings, load,
-                                    [](Cluster& cluster, Load& running) {
-                                      const auto holder = static_cast<uint32_t>(
-                                          cluster.HolderOf("catalogue"));
-                                      running.Avoid(holder);
-                                      cluster.Control(holder).Kill();
-                                      cluster.Entry(holder).Kill();
-                                    },
-                                    seconds(5)));
+  Print("rosario, host killed",
+        RunOnce(
+            settings, load,
+            [](Cluster& cluster, LoadGenerator& running) {
+              const auto holder =
+                  static_cast<uint32_t>(cluster.HolderOf("catalogue"));
+              running.StopSendingTo(holder);
+              cluster.Control(holder).Kill();
+              cluster.Entry(holder).Kill();
+            },
+            seconds(5)));
 }
 
 void MeasureJalisco() {
   const ClusterSettings settings = Jalisco();
-  const LoadSettings load = LoadFor(settings);
+  const LoadSettings load = LoadSettingsFor(settings);
   PrintHeader();
-  Print("jalisco, no fault", RunOnce(settings, load, &NoFault, seconds(6)));
+  Print("jalisco, no fault",
+        RunOnce(settings, load, &InjectNoFault, seconds(6)));
   Print("jalisco, servers slow for moments",
         RunOnce(
             settings, load,
-            [](Cluster& cluster, Load&) { SlowForMoments(cluster, "padron"); },
+            [](Cluster& cluster, LoadGenerator&) {
+              SlowServersBriefly(cluster, "padron");
+            },
             seconds(2)));
   Print("jalisco, data centre out and back",
         RunOnce(
             settings, load,
-            [](Cluster& cluster, Load&) { LeaveAndReturn(cluster, "gdl-2"); },
+            [](Cluster& cluster, LoadGenerator&) {
+              RemoveAndRestoreDataCentre(cluster, "gdl-2");
+            },
             seconds(4)));
 }
 
 // Two runs that differ in one flag of the entries or control processes.
-void Compare(const std::string& name,
-             ClusterSettings settings,
-             const LoadSettings& load,
-             const std::string& flag,
-             const std::vector<std::string>& values,
-             bool of_control,
-             const Fault& fault) {
+void CompareFlagValues(const std::string& name,
+                       ClusterSettings settings,
+                       const LoadSettings& load,
+                       const std::string& flag,
+                       const std::vector<std::string>& values,
+                       bool is_control_flag,
+                       const Fault& fault) {
   for (const std::string& value : values) {
     auto& flags =
-        of_control ? settings.m_control_flags : settings.m_entry_flags;
+        is_control_flag ? settings.m_control_flags : settings.m_entry_flags;
     flags = {flag, value};
     Print(name + ", " + value, RunOnce(settings, load, fault, seconds(5)));
   }
@@ -404,28 +416,28 @@
   settings.m_services[0].m_queue = 64;
   settings.m_services[0].m_service_time = milliseconds(5);
   settings.m_workspaces = Workspaces("club-", 4);
-  LoadSettings load = LoadFor(settings);
+  LoadSettings load = LoadSettingsFor(settings);
   load.m_fibers = 40;
-  load.m_pause = milliseconds(0);
+  load.m_request_interval = milliseconds(0);
   load.m_workspaces = {"club-1"};
   PrintHeader();
   for (const std::string value : {"fifo", "fair"}) {
     settings.m_entry_flags = {"--queue", value};
     Cluster cluster(settings);
     cluster.Start();
-    Load greedy(cluster, load);
+    LoadGenerator greedy(cluster, load);
     LoadSettings calm_settings = load;
     calm_settings.m_workspaces = {"club-2", "club-3", "club-4"};
     calm_settings.m_fibers = 6;
-    calm_settings.m_pause = milliseconds(20);
-    Load calm(cluster, calm_settings);
+    calm_settings.m_request_interval = milliseconds(20);
+    LoadGenerator calm(cluster, calm_settings);
     greedy.Start();
     calm.Start();
     boost::this_fiber::sleep_for(seconds(5));
     calm.Stop();
     greedy.Stop();
     Print("calm workspaces, queue " + value,
-          MeasuresOf(cluster, calm.GetAnswers(), settings.m_services));
+          ComputeMeasures(cluster, calm.GetResponses(), settings.m_services));
   }
 }
 
@@ -440,21 +452,21 @@
     settings.m_entry_flags = {"--share", value};
     Cluster cluster(settings);
     cluster.Start();
-    LoadSettings load_settings = LoadFor(settings);
+    LoadSettings load_settings = LoadSettingsFor(settings);
     // Most requests come by two entries.
     load_settings.m_hosts = {0, 0, 0, 0, 0, 0, 1, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9};
-    load_settings.m_orders = 0;
+    load_settings.m_non_idempotent_percent = 0;
     load_settings.m_fibers = 4;
-    load_settings.m_pause = milliseconds(22);
-    Load load(cluster, load_settings);
+    load_settings.m_request_interval = milliseconds(22);
+    LoadGenerator load(cluster, load_settings);
     const TimePoint start = Clock::now();
     load.Start();
     boost::this_fiber::sleep_for(seconds(8));
     load.Stop();
-    const double offered = static_cast<double>(load.GetAnswers().size()) /
+    const double offered = static_cast<double>(load.GetResponses().size()) /
                            ToSeconds(Clock::now() - start);
     Print(fmt::format("share {}, {:.0f} of 200 a second", value, offered),
-          MeasuresOf(cluster, load.GetAnswers(), settings.m_services));
+          ComputeMeasures(cluster, load.GetResponses(), settings.m_services));
   }
 }
 
@@ -464,27 +476,29 @@
   settings.m_services[0].m_servers = 4;
   settings.m_services[0].m_slots = 6;
   settings.m_services[0].m_cold_requests = 30;
-  LoadSettings load = LoadFor(settings);
+  LoadSettings load = LoadSettingsFor(settings);
   load.m_fibers = 30;
-  load.m_pause = milliseconds(1);
+  load.m_request_interval = milliseconds(1);
   PrintHeader();
   for (const std::string value : {"fixed", "ramp"}) {
     settings.m_entry_flags = {"--limit", value};
     Cluster cluster(settings);
     cluster.Start();
-    Load running(cluster, load);
+    LoadGenerator running(cluster, load);
     running.Start();
     boost::this_fiber::sleep_for(seconds(2));
     cluster.BackendProcess("catalogue-1").Kill();
     cluster.StartBackend("catalogue-1");
     boost::this_fiber::sleep_for(seconds(4));
     running.Stop();
-    Print("restart under load, limit " + value,
-          MeasuresOf(cluster, running.GetAnswers(), settings.m_services));
+    Print(
+        "restart under load, limit " + value,
+        ComputeMeasures(cluster, running.GetResponses(), settings.m_services));
     uint64_t overloads = 0;
     for (int i = 1; i <= 4; ++i) {
       overloads +=
-          cluster.Backend("catalogue-" + std::to_string(i))["cold_overloads"]
+          cluster
+              .CallBackend("catalogue-" + std::to_string(i))["cold_overloads"]
               .asUInt64();
     }
     fmt::print("  requests beyond what a cold server bears: {}\n", overloads);
@@ -494,10 +508,11 @@
 void MeasurePlacement() {
   const ClusterSettings settings = Jalisco();
   PrintHeader();
-  Compare("placement", settings, LoadFor(settings), "--placement",
-          {"rendezvous", "bounded"}, true, [](Cluster& cluster, Load&) {
-            cluster.BackendProcess("padron-4").Kill();
-          });
+  CompareFlagValues("placement", settings, LoadSettingsFor(settings),
+                    "--placement", {"rendezvous", "bounded"}, true,
+                    [](Cluster& cluster, LoadGenerator&) {
+                      cluster.BackendProcess("padron-4").Kill();
+                    });
 }
 
 struct Scenario {
--- a/src/standins/backend_standin.cc
+++ b/src/standins/backend_standin.cc
@@ -39,8 +39,8 @@
      "factor on the service time while cold", &S::m_cold_factor},
 }};
 
-constexpr const char* kCrashMark = "crash-the-server";
-constexpr int kCrashExit = 70;
+constexpr const char* kCrashMarker = "crash-the-server";
+constexpr int kCrashExitCode = 70;
 constexpr int kStatusConflict = 409;
 
 HttpResponse JsonResponse(const Json::Value& body) {
@@ -50,11 +50,11 @@
   return response;
 }
 
-int64_t NumberOf(const HttpRequest& request, const char* header) {
+int64_t NumericHeader(const HttpRequest& request, const char* header) {
   return std::atoll(request.m_headers.GetOr(header, "0").c_str());
 }
 
-HttpResponse Refusal(const std::string& reason) {
+HttpResponse RefusalResponse(const std::string& reason) {
   return ErrorResponse(
       Error(ErrorCode::kServerRefused, Execution::kNotRun, reason));
 }
@@ -67,10 +67,10 @@
 
 BackendStandin::BackendStandin(const BackendStandinSettings& settings)
     : m_settings(settings),
-      m_instance(RandomToken()),
-      m_cold_until(settings.m_cold_requests) {
+      m_incarnation(RandomToken()),
+      m_cold_until_executed(settings.m_cold_requests) {
   if (!settings.m_record_file.empty()) {
-    m_record.open(settings.m_record_file, std::ios::app);
+    m_record_stream.open(settings.m_record_file, std::ios::app);
   }
 }
 
@@ -79,33 +79,35 @@
   if (request.m_target == "/health") {
     response.m_body = "ok\n";
   } else if (request.m_target == "/grants") {
-    response = TakeGrant(request);
+    response = HandleGrant(request);
   } else if (request.m_target == "/standin") {
     response = Configure(request);
   } else {
     response = RunRequest(request);
   }
-  response.m_headers.Set("x-server-instance", m_instance);
+  response.m_headers.Set("x-server-instance", m_incarnation);
   return response;
 }
 
 // A list replaces the one before; lists of earlier controllers and lists that
-// were overtaken are refused.
-HttpResponse BackendStandin::TakeGrant(const HttpRequest& request) {
+// were outdated are refused.
+HttpResponse BackendStandin::HandleGrant(const HttpRequest& request) {
   const Json::Value body = ParseJson(request.m_body);
   Grant grant;
   grant.m_control_epoch = body["control_epoch"].asUInt64();
   grant.m_number = body["number"].asUInt64();
-  const bool overtaken = grant.m_control_epoch < m_grant.m_control_epoch ||
-                         (grant.m_control_epoch == m_grant.m_control_epoch &&
-                          grant.m_number <= m_grant.m_number);
-  if (overtaken) {
+  const bool outdated = grant.m_control_epoch < m_grant.m_control_epoch ||
+                        (grant.m_control_epoch == m_grant.m_control_epoch &&
+                         grant.m_number <= m_grant.m_number);
+  if (outdated) {
     HttpResponse response;
     response.m_status = kStatusConflict;
     return response;
   }
-  grant.m_until = Clock::now() + milliseconds(body["lifetime_ms"].asInt64());
-  grant.m_expires = WallTime(milliseconds(body["expires_unix_ms"].asInt64()));
+  grant.m_valid_until =
+      Clock::now() + milliseconds(body["lifetime_ms"].asInt64());
+  grant.m_expires_at =
+      WallTime(milliseconds(body["expires_unix_ms"].asInt64()));
   for (const Json::Value& row : body["partitions"]) {
     grant.m_partitions.emplace(row[0].asUInt(), row[1].asUInt64());
   }
@@ -125,42 +127,43 @@
           milliseconds(body["service_time_ms"].asInt64());
     }
     if (body.get("turn_cold", false).asBool()) {
-      m_cold_until = m_answered + m_settings.m_cold_requests;
+      m_cold_until_executed = m_executed + m_settings.m_cold_requests;
     }
   }
-  return JsonResponse(State());
+  return JsonResponse(StateJson());
 }
 
-Json::Value BackendStandin::State() const {
+Json::Value BackendStandin::StateJson() const {
   Json::Value state;
   state["name"] = m_settings.m_name;
-  state["answered"] = Json::UInt64(m_answered);
+  state["answered"] = Json::UInt64(m_executed);
   state["shed"] = Json::UInt64(m_shed);
   state["cold"] = IsCold();
   state["cold_overloads"] = Json::UInt64(m_cold_overloads);
-  state["most_running"] = m_most_running;
-  state["most_waiting"] = m_most_waiting;
+  state["most_running"] = m_max_running;
+  state["most_waiting"] = m_max_waiting;
   state["partitions"] = Json::UInt64(m_grant.m_partitions.size());
   return state;
 }
 
 // Returns why the request may not run now, or an empty text. It is asked before
 // the run and again before its effect.
-std::string BackendStandin::RefusalOf(const HttpRequest& request) const {
-  const int64_t deadline = NumberOf(request, "x-foxtail-deadline-unix-ms");
+std::string BackendStandin::RefusalReason(const HttpRequest& request) const {
+  const int64_t deadline = NumericHeader(request, "x-foxtail-deadline-unix-ms");
   if (deadline > 0 && WallNow() >= WallTime(milliseconds(deadline))) {
     return "deadline passed";
   }
   if (m_settings.m_checks_fence == 0) {
     return "";
   }
-  if (Clock::now() >= m_grant.m_until || WallNow() >= m_grant.m_expires) {
+  if (Clock::now() >= m_grant.m_valid_until ||
+      WallNow() >= m_grant.m_expires_at) {
     return "no grant in force";
   }
   const auto partition =
-      static_cast<uint32_t>(NumberOf(request, "x-foxtail-partition"));
+      static_cast<uint32_t>(NumericHeader(request, "x-foxtail-partition"));
   const auto epoch =
-      static_cast<uint64_t>(NumberOf(request, "x-foxtail-epoch"));
+      static_cast<uint64_t>(NumericHeader(request, "x-foxtail-epoch"));
   const auto granted = m_grant.m_partitions.find(partition);
   if (granted == m_grant.m_partitions.end() || granted->second != epoch) {
     return "fencing epoch differs";
@@ -179,13 +182,13 @@
   return time;
 }
 
-bool BackendStandin::TakeSlot(TimePoint until) {
+bool BackendStandin::AcquireSlot(TimePoint until) {
   if (m_running >= m_settings.m_slots) {
     if (m_waiting >= m_settings.m_queue) {
       return false;
     }
     ++m_waiting;
-    m_most_waiting = std::max(m_most_waiting, m_waiting);
+    m_max_waiting = std::max(m_max_waiting, m_waiting);
     while (m_running >= m_settings.m_slots && Clock::now() < until) {
       m_slot_free.WaitUntil(until);
     }
@@ -195,39 +198,39 @@
     }
   }
   ++m_running;
-  m_most_running = std::max(m_most_running, m_running);
+  m_max_running = std::max(m_max_running, m_running);
   return true;
 }
 
 HttpResponse BackendStandin::RunRequest(const HttpRequest& request) {
-  const std::string early = RefusalOf(request);
-  if (!early.empty()) {
-    return Refusal(early);
+  const std::string refusal_before_run = RefusalReason(request);
+  if (!refusal_before_run.empty()) {
+    return RefusalResponse(refusal_before_run);
   }
-  const TimePoint until =
-      Clock::now() + milliseconds(NumberOf(request, "x-foxtail-deadline-ms"));
-  if (!TakeSlot(until)) {
+  const TimePoint until = Clock::now() + milliseconds(NumericHeader(
+                                             request, "x-foxtail-deadline-ms"));
+  if (!AcquireSlot(until)) {
     ++m_shed;
-    return Refusal("no free slot");
+    return RefusalResponse("no free slot");
   }
   if (IsCold() && m_running > m_settings.m_cold_limit) {
     ++m_cold_overloads;
   }
-  Record(request, "begin");
-  if (request.m_body.find(kCrashMark) != std::string::npos) {
-    Record(request, "crash");
-    std::_Exit(kCrashExit);
+  RecordEvent(request, "begin");
+  if (request.m_body.find(kCrashMarker) != std::string::npos) {
+    RecordEvent(request, "crash");
+    std::_Exit(kCrashExitCode);
   }
   boost::this_fiber::sleep_for(ServiceTime());
   --m_running;
   m_slot_free.Notify();
-  const std::string late = RefusalOf(request);
-  if (!late.empty()) {
-    Record(request, "abort");
-    return Refusal(late);
+  const std::string refusal_after_run = RefusalReason(request);
+  if (!refusal_after_run.empty()) {
+    RecordEvent(request, "abort");
+    return RefusalResponse(refusal_after_run);
   }
-  ++m_answered;
-  Record(request, "effect");
+  ++m_executed;
+  RecordEvent(request, "effect");
   Json::Value body;
   body["server"] = m_settings.m_name;
   body["request"] = request.m_headers.GetOr("x-foxtail-request-id", "");
@@ -237,15 +240,15 @@
   return JsonResponse(body);
 }
 
-void BackendStandin::Record(const HttpRequest& request,
-                            const std::string& what) {
-  if (!m_record.is_open()) {
+void BackendStandin::RecordEvent(const HttpRequest& request,
+                                 const std::string& event) {
+  if (!m_record_stream.is_open()) {
     return;
   }
   Json::Value line;
   line["server"] = m_settings.m_name;
-  line["instance"] = m_instance;
-  line["what"] = what;
+  line["instance"] = m_incarnation;
+  line["what"] = event;
   line["time_us"] =
       Json::Int64(std::chrono::duration_cast<std::chrono::microseconds>(
                       Clock::now().time_since_epoch())
@@ -253,16 +256,17 @@
   line["request"] = request.m_headers.GetOr("x-foxtail-request-id", "");
   line["workspace"] = request.m_headers.GetOr("x-foxtail-workspace", "");
   line["service"] = request.m_headers.GetOr("x-foxtail-cell", "");
-  line["partition"] = Json::Int64(NumberOf(request, "x-foxtail-partition"));
-  line["epoch"] = Json::Int64(NumberOf(request, "x-foxtail-epoch"));
+  line["partition"] =
+      Json::Int64(NumericHeader(request, "x-foxtail-partition"));
+  line["epoch"] = Json::Int64(NumericHeader(request, "x-foxtail-epoch"));
   line["key"] = request.m_headers.GetOr("x-partition-key", "");
   line["running"] = m_running;
-  Json::Value names(Json::arrayValue);
+  Json::Value headers(Json::arrayValue);
   for (const HttpHeader& field : request.m_headers.All()) {
-    names.append(field.m_name + ": " + field.m_value);
+    headers.append(field.m_name + ": " + field.m_value);
   }
-  line["headers"] = names;
-  m_record << JsonText(line) << std::endl;
+  line["headers"] = headers;
+  m_record_stream << JsonText(line) << std::endl;
 }
 
 }  // namespace foxtail
--- a/src/standins/backend_standin.h
+++ b/src/standins/backend_standin.h
@@ -24,7 +24,7 @@
   /// Name written to the record.
   std::string m_name = "backend";
 
-  /// File that records what ran and when; empty means none.
+  /// File that records event ran and when; empty means none.
   std::string m_record_file;
 
   /// Requests run at once.
@@ -66,36 +66,36 @@
   struct Grant {
     uint64_t m_control_epoch = 0;
     uint64_t m_number = 0;
-    TimePoint m_until;
-    WallTime m_expires;
+    TimePoint m_valid_until;
+    WallTime m_expires_at;
     std::map<uint32_t, uint64_t> m_partitions;
   };
 
-  HttpResponse TakeGrant(const HttpRequest& request);
+  HttpResponse HandleGrant(const HttpRequest& request);
   HttpResponse Configure(const HttpRequest& request);
   HttpResponse RunRequest(const HttpRequest& request);
-  bool TakeSlot(TimePoint until);
-  std::string RefusalOf(const HttpRequest& request) const;
-  bool IsCold() const { return m_answered < m_cold_until; }
+  bool AcquireSlot(TimePoint until);
+  std::string RefusalReason(const HttpRequest& request) const;
+  bool IsCold() const { return m_executed < m_cold_until_executed; }
   std::chrono::milliseconds ServiceTime() const;
-  void Record(const HttpRequest& request, const std::string& what);
-  Json::Value State() const;
+  void RecordEvent(const HttpRequest& request, const std::string& event);
+  Json::Value StateJson() const;
 
   BackendStandinSettings m_settings;
-  std::string m_instance;
+  std::string m_incarnation;
   Grant m_grant;
   FiberEvent m_slot_free;
   uint32_t m_running = 0;
   uint32_t m_waiting = 0;
-  uint64_t m_answered = 0;
-  uint64_t m_cold_until = 0;
+  uint64_t m_executed = 0;
+  uint64_t m_cold_until_executed = 0;
   uint64_t m_shed = 0;
   uint64_t m_cold_overloads = 0;
-  uint32_t m_most_running = 0;
-  uint32_t m_most_waiting = 0;
+  uint32_t m_max_running = 0;
+  uint32_t m_max_waiting = 0;
   uint32_t m_slow_factor = 1;
   TimePoint m_slow_until;
-  std::ofstream m_record;
+  std::ofstream m_record_stream;
 };
 
 }  // namespace foxtail
--- a/src/standins/fault_proxy.cc
+++ b/src/standins/fault_proxy.cc
@@ -19,17 +19,17 @@
 using std::chrono::milliseconds;
 
 constexpr size_t kBufferSize = 16 * 1024;  // bytes
-constexpr milliseconds kFrozenPoll{5};
+constexpr milliseconds kFrozenPollInterval{5};
 
 constexpr std::array<const char*, 5> kFaultNames = {
     "none", "cut", "freeze", "lose_requests", "lose_answers"};
 
-tcp::endpoint EndpointOf(const std::string& text) {
+tcp::endpoint ParseEndpoint(const std::string& text) {
   const Address address = ParseAddress(text);
   return {asio::ip::make_address(address.m_host), address.m_port};
 }
 
-LinkFault FaultOf(const std::string& name) {
+LinkFault ParseFault(const std::string& name) {
   for (size_t i = 0; i < kFaultNames.size(); ++i) {
     if (name == kFaultNames[i]) {
       return static_cast<LinkFault>(i);
@@ -40,30 +40,30 @@
 
 }  // namespace
 
-struct FaultProxy::Pair {
-  explicit Pair(tcp::socket accepted)
-      : m_caller(std::move(accepted)), m_target(ThreadIo()) {}
+struct FaultProxy::Connection {
+  explicit Connection(tcp::socket accepted)
+      : m_client(std::move(accepted)), m_target(ThreadIo()) {}
 
   void Close() {
     error_code ignored;
-    m_caller.close(ignored);
+    m_client.close(ignored);
     m_target.close(ignored);
   }
 
-  tcp::socket m_caller;
+  tcp::socket m_client;
   tcp::socket m_target;
 };
 
 struct FaultProxy::Link {
   Link(const std::string& listen, const std::string& target)
-      : m_acceptor(ThreadIo(), EndpointOf(listen)),
-        m_target(EndpointOf(target)) {}
+      : m_acceptor(ThreadIo(), ParseEndpoint(listen)),
+        m_target(ParseEndpoint(target)) {}
 
   tcp::acceptor m_acceptor;
   tcp::endpoint m_target;
   LinkFault m_fault = LinkFault::kNone;
   milliseconds m_delay{0};
-  std::list<std::weak_ptr<Pair>> m_pairs;
+  std::list<std::weak_ptr<Connection>> m_connections;
 };
 
 FaultProxy::FaultProxy(const std::vector<std::string>& links) {
@@ -96,32 +96,35 @@
     if (link.m_fault == LinkFault::kCut) {
       continue;
     }
-    auto pair = std::make_shared<Pair>(std::move(socket));
-    link.m_pairs.push_back(pair);
-    StartFiber([&link, pair] { Serve(link, pair); });
+    auto connection = std::make_shared<Connection>(std::move(socket));
+    link.m_connections.push_back(connection);
+    StartFiber([&link, connection] { Serve(link, connection); });
   }
 }
 
-void FaultProxy::Serve(Link& link, const std::shared_ptr<Pair>& pair) {
+void FaultProxy::Serve(Link& link,
+                       const std::shared_ptr<Connection>& connection) {
   const error_code failure = AwaitOperation([&](auto handler) {
-    pair->m_target.async_connect(link.m_target, handler);
+    connection->m_target.async_connect(link.m_target, handler);
   });
   if (failure) {
-    pair->Close();
+    connection->Close();
     return;
   }
   error_code ignored;
-  pair->m_caller.set_option(tcp::no_delay(true), ignored);
-  pair->m_target.set_option(tcp::no_delay(true), ignored);
-  StartFiber([&link, pair] { Pump(link, pair, true); });
-  Pump(link, pair, false);
+  connection->m_client.set_option(tcp::no_delay(true), ignored);
+  connection->m_target.set_option(tcp::no_delay(true), ignored);
+  StartFiber([&link, connection] { Forward(link, connection, true); });
+  Forward(link, connection, false);
 }
 
-void FaultProxy::Pump(Link& link,
-                      const std::shared_ptr<Pair>& pair,
-                      bool towards_target) {
-  tcp::socket& from = towards_target ? pair->m_caller : pair->m_target;
-  tcp::socket& to = towards_target ? pair->m_target : pair->m_caller;
+void FaultProxy::Forward(Link& link,
+                         const std::shared_ptr<Connection>& connection,
+                         bool towards_target) {
+  tcp::socket& from =
+      towards_target ? connection->m_client : connection->m_target;
+  tcp::socket& to =
+      towards_target ? connection->m_target : connection->m_client;
   std::array<char, kBufferSize> buffer;
   while (true) {
     FiberWait read;
@@ -132,12 +135,12 @@
     if (link.m_delay.count() > 0) {
       boost::this_fiber::sleep_for(link.m_delay);
     }
-    if (link.m_fault == LinkFault::kLoseAnswers && !towards_target) {
+    if (link.m_fault == LinkFault::kLoseResponses && !towards_target) {
       break;
     }
     while (link.m_fault == LinkFault::kFreeze ||
            (link.m_fault == LinkFault::kLoseRequests && towards_target)) {
-      boost::this_fiber::sleep_for(kFrozenPoll);
+      boost::this_fiber::sleep_for(kFrozenPollInterval);
     }
     const error_code failure = AwaitOperation([&](auto handler) {
       asio::async_write(to, asio::buffer(buffer.data(), read.GetBytes()),
@@ -147,7 +150,7 @@
       break;
     }
   }
-  pair->Close();
+  connection->Close();
 }
 
 HttpResponse FaultProxy::Handle(HttpRequest& request) {
@@ -159,15 +162,15 @@
   const size_t index = std::stoul(request.m_target.substr(kPrefix.size()));
   Link& link = *m_links.at(index);
   const Json::Value body = ParseJson(request.m_body);
-  link.m_fault = FaultOf(body.get("fault", "none").asString());
+  link.m_fault = ParseFault(body.get("fault", "none").asString());
   link.m_delay = milliseconds(body.get("delay_ms", 0).asInt64());
   if (link.m_fault == LinkFault::kCut) {
-    for (const auto& weak : link.m_pairs) {
-      if (const auto pair = weak.lock()) {
-        pair->Close();
+    for (const auto& weak : link.m_connections) {
+      if (const auto connection = weak.lock()) {
+        connection->Close();
       }
     }
-    link.m_pairs.clear();
+    link.m_connections.clear();
   }
   return response;
 }
--- a/src/standins/fault_proxy.h
+++ b/src/standins/fault_proxy.h
@@ -22,7 +22,7 @@
   /// Bytes towards the target wait.
   kLoseRequests,
   /// Bytes from the target are dropped and the connection is closed.
-  kLoseAnswers,
+  kLoseResponses,
 };
 
 /// Stand-in for a faulty network: forwards TCP connections over links whose
@@ -44,13 +44,13 @@
 
  private:
   struct Link;
-  struct Pair;
+  struct Connection;
 
   static void Accept(Link& link);
-  static void Serve(Link& link, const std::shared_ptr<Pair>& pair);
-  static void Pump(Link& link,
-                   const std::shared_ptr<Pair>& pair,
-                   bool towards_target);
+  static void Serve(Link& link, const std::shared_ptr<Connection>& connection);
+  static void Forward(Link& link,
+                      const std::shared_ptr<Connection>& connection,
+                      bool towards_target);
 
   std::vector<std::unique_ptr<Link>> m_links;
 };
--- a/src/standins/platform_standin.cc
+++ b/src/standins/platform_standin.cc
@@ -11,9 +11,9 @@
 
 using Query = std::map<std::string, std::string>;
 
-constexpr int kStatusMissing = 404;
+constexpr int kStatusNotFound = 404;
 constexpr int kStatusGone = 410;
-constexpr int kStatusMismatch = 412;
+constexpr int kStatusPreconditionFailed = 412;
 constexpr int kStatusUnavailable = 503;
 constexpr int kHexBase = 16;
 
@@ -25,7 +25,7 @@
   return response;
 }
 
-std::string DecodeText(const std::string& text) {
+std::string DecodePercent(const std::string& text) {
   std::string decoded;
   for (size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '%' && i + 2 < text.size()) {
@@ -39,7 +39,7 @@
   return decoded;
 }
 
-Query QueryOf(const std::string& target) {
+Query ParseQuery(const std::string& target) {
   Query query;
   const size_t mark = target.find('?');
   if (mark == std::string::npos) {
@@ -51,12 +51,13 @@
   for (const std::string& field : fields) {
     const size_t equals = field.find('=');
     query[field.substr(0, equals)] =
-        equals == std::string::npos ? "" : DecodeText(field.substr(equals + 1));
+        equals == std::string::npos ? ""
+                                    : DecodePercent(field.substr(equals + 1));
   }
   return query;
 }
 
-std::string FieldOf(const Query& query, const std::string& name) {
+std::string QueryField(const Query& query, const std::string& name) {
   const auto field = query.find(name);
   return field == query.end() ? "" : field->second;
 }
@@ -85,8 +86,8 @@
   if (request.m_target == "/faults") {
     return HandleFaults(request);
   }
-  if (m_delay.count() > 0) {
-    boost::this_fiber::sleep_for(m_delay);
+  if (m_request_delay.count() > 0) {
+    boost::this_fiber::sleep_for(m_request_delay);
   }
   if (m_down) {
     return JsonResponse(kStatusUnavailable, Json::Value());
@@ -98,13 +99,14 @@
   if (request.m_method == "POST") {
     const Json::Value body = ParseJson(request.m_body);
     m_down = body.get("down", m_down).asBool();
-    m_lose_answers = body.get("lose_answers", m_lose_answers).asUInt();
-    m_delay = std::chrono::milliseconds(
-        body.get("delay_ms", Json::Int64(m_delay.count())).asInt64());
+    m_responses_to_lose =
+        body.get("lose_answers", m_responses_to_lose).asUInt();
+    m_request_delay = std::chrono::milliseconds(
+        body.get("delay_ms", Json::Int64(m_request_delay.count())).asInt64());
     if (body.get("drop_history", false).asBool()) {
       m_history_start = m_last_version;
     }
-    m_changed.Notify();
+    m_rows_changed.Notify();
   }
   Json::Value state;
   state["reads"] = Json::UInt64(m_reads);
@@ -115,35 +117,35 @@
 HttpResponse PlatformStandin::HandleRows(const HttpRequest& request) {
   const std::string path =
       request.m_target.substr(0, request.m_target.find('?'));
-  const Query query = QueryOf(request.m_target);
+  const Query query = ParseQuery(request.m_target);
   if (path == "/rows-tx" && request.m_method == "POST") {
     ++m_writes;
-    return Transact(request.m_body);
+    return RunTransaction(request.m_body);
   }
   ++m_reads;
   if (path == "/rows-get") {
     return GetRows(query);
   }
   if (path == "/rows-feed") {
-    return Feed(query);
+    return ReadFeed(query);
   }
-  return JsonResponse(kStatusMissing, Json::Value());
+  return JsonResponse(kStatusNotFound, Json::Value());
 }
 
-Json::Value PlatformStandin::Envelope() const {
+Json::Value PlatformStandin::CommonFields() const {
   Json::Value body;
   body["ver"] = Json::UInt64(m_last_version);
-  body["now_s"] = ToSeconds(Clock::now() - m_started);
+  body["now_s"] = ToSeconds(Clock::now() - m_started_at);
   return body;
 }
 
 HttpResponse PlatformStandin::GetRows(const Query& query) const {
-  const std::string table = FieldOf(query, "table");
-  const std::string target = FieldOf(query, "target");
-  Json::Value body = Envelope();
+  const std::string table = QueryField(query, "table");
+  const std::string target = QueryField(query, "target");
+  Json::Value body = CommonFields();
   body["rows"] = Json::arrayValue;
   body["has_more"] = false;
-  for (auto row = m_rows.lower_bound({table, FieldOf(query, "from")});
+  for (auto row = m_rows.lower_bound({table, QueryField(query, "from")});
        row != m_rows.end() && row->first.first == table; ++row) {
     const auto& [key, content] = *row;
     if (!target.empty() && key.second >= target) {
@@ -157,12 +159,12 @@
   return JsonResponse(200, body);
 }
 
-HttpResponse PlatformStandin::Feed(const Query& query) {
-  const std::string table = FieldOf(query, "table");
-  const uint64_t after = std::stoull(FieldOf(query, "after"));
+HttpResponse PlatformStandin::ReadFeed(const Query& query) {
+  const std::string table = QueryField(query, "table");
+  const uint64_t after = std::stoull(QueryField(query, "after"));
   const TimePoint until =
       Clock::now() +
-      std::chrono::milliseconds(std::stoul(FieldOf(query, "wait_ms")));
+      std::chrono::milliseconds(std::stoul(QueryField(query, "wait_ms")));
   Json::Value rows = Json::arrayValue;
   while (true) {
     if (m_down) {
@@ -187,9 +189,9 @@
     if (!rows.empty() || Clock::now() >= until) {
       break;
     }
-    m_changed.WaitUntil(until);
+    m_rows_changed.WaitUntil(until);
   }
-  Json::Value body = Envelope();
+  Json::Value body = CommonFields();
   body["rows"] = rows;
   return JsonResponse(200, body);
 }
@@ -200,12 +202,12 @@
                                                       : row->second.m_version;
 }
 
-HttpResponse PlatformStandin::Transact(const std::string& text) {
+HttpResponse PlatformStandin::RunTransaction(const std::string& text) {
   const Json::Value request = ParseJson(text);
   for (const Json::Value& expected : request["expected_rev"]) {
     const Key key{expected["table"].asString(), expected["key"].asString()};
     if (VersionOf(key) != expected["ver"].asUInt64()) {
-      return JsonResponse(kStatusMismatch, Envelope());
+      return JsonResponse(kStatusPreconditionFailed, CommonFields());
     }
   }
   ++m_last_version;
@@ -217,14 +219,14 @@
     m_rows[{drop["table"].asString(), drop["key"].asString()}] = {
         m_last_version, "", true};
   }
-  m_changed.Notify();
-  if (m_lose_answers > 0) {
-    --m_lose_answers;
+  m_rows_changed.Notify();
+  if (m_responses_to_lose > 0) {
+    --m_responses_to_lose;
     HttpResponse lost;
     lost.m_drop = true;
     return lost;
   }
-  return JsonResponse(200, Envelope());
+  return JsonResponse(200, CommonFields());
 }
 
 }  // namespace foxtail
--- a/src/standins/platform_standin.h
+++ b/src/standins/platform_standin.h
@@ -35,10 +35,10 @@
   HttpResponse HandleFaults(const HttpRequest& request);
   HttpResponse HandleRows(const HttpRequest& request);
   HttpResponse GetRows(const std::map<std::string, std::string>& query) const;
-  HttpResponse Feed(const std::map<std::string, std::string>& query);
-  HttpResponse Transact(const std::string& text);
+  HttpResponse ReadFeed(const std::map<std::string, std::string>& query);
+  HttpResponse RunTransaction(const std::string& text);
   uint64_t VersionOf(const Key& key) const;
-  Json::Value Envelope() const;
+  Json::Value CommonFields() const;
 
   /// Rows by table and key; removed ones stay for the feed.
   std::map<Key, Row> m_rows;
@@ -46,11 +46,11 @@
 
   /// Changes up to this version are no longer told.
   uint64_t m_history_start = 0;
-  FiberEvent m_changed;
-  TimePoint m_started = Clock::now();
+  FiberEvent m_rows_changed;
+  TimePoint m_started_at = Clock::now();
   bool m_down = false;
-  uint32_t m_lose_answers = 0;
-  std::chrono::milliseconds m_delay{0};
+  uint32_t m_responses_to_lose = 0;
+  std::chrono::milliseconds m_request_delay{0};
   uint64_t m_reads = 0;
   uint64_t m_writes = 0;
 };
--- a/tests/control/control_test.cc
+++ b/tests/control/control_test.cc
@@ -14,11 +14,11 @@
 
 TEST(LeaseTest, StandbyTakesOverOnlyAfterAFullPeriod) {
   FakeWorld world(2);
-  world.Configure(OneService());
+  world.Configure(OneServiceConfiguration());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   const size_t holder = world.HolderOf("catalogue");
   world.RunFor(milliseconds(1000));
-  world.m_nodes[holder].m_stopped = true;
+  world.m_nodes[holder].m_paused = true;
   const TimePoint stopped = world.Now();
   ASSERT_TRUE(world.RunUntil(
       [&] { return world.HolderOf("catalogue") == 1 - holder; }));
@@ -31,24 +31,24 @@
 TEST(LeaseTest, NeverTwoHoldersUnderOutagesPausesAndLostAnswers) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     FakeWorld world(3);
-    world.Configure(OneService());
+    world.Configure(OneServiceConfiguration());
     std::mt19937_64 random(seed);
     for (int step = 0; step < 150; ++step) {
       world.m_store.m_down = random() % 4 == 0;
-      world.m_store.m_lose_next_answer = random() % 3 == 0;
+      world.m_store.m_lose_next_response = random() % 3 == 0;
       for (FakeNode& node : world.m_nodes) {
-        node.m_stopped = random() % 5 == 0;
+        node.m_paused = random() % 5 == 0;
       }
       world.RunFor(milliseconds(random() % 400));
-      ASSERT_LE(world.m_most_holders, 1U) << "seed " << seed;
+      ASSERT_LE(world.m_max_holders, 1U) << "seed " << seed;
     }
-    EXPECT_EQ(world.m_most_holders, 1U) << "nobody ever held, seed " << seed;
+    EXPECT_EQ(world.m_max_holders, 1U) << "nobody ever held, seed " << seed;
   }
 }
 
 TEST(LeaseTest, HolderGoesOnThroughAnOutageWithPromises) {
   FakeWorld world(3);
-  world.Configure(OneService());
+  world.Configure(OneServiceConfiguration());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   world.RunFor(milliseconds(1000));
   const size_t holder = world.HolderOf("catalogue");
@@ -64,38 +64,38 @@
 
 TEST(LeaseTest, HolderStopsWhenAStandbyDoesNotPromise) {
   FakeWorld world(3);
-  world.Configure(OneService());
+  world.Configure(OneServiceConfiguration());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   world.RunFor(milliseconds(1000));
   const size_t holder = world.HolderOf("catalogue");
   world.m_store.m_down = true;
-  world.m_nodes[(holder + 1) % 3].m_stopped = true;
+  world.m_nodes[(holder + 1) % 3].m_paused = true;
   world.RunFor(milliseconds(2500));
-  EXPECT_EQ(world.HolderOf("catalogue"), FakeWorld::kNobody);
+  EXPECT_EQ(world.HolderOf("catalogue"), FakeWorld::kNoNode);
 }
 
 TEST(TokenTest, UnknownTokensOfAPredecessorCountAgainstTheBurst) {
   FakeWorld world(2);
-  Configuration configuration = OneService();
+  Configuration configuration = OneServiceConfiguration();
   configuration.m_workspaces = {{"club", 100, 40, 1, {"catalogue"}, {}}};
   world.Configure(configuration);
   ASSERT_TRUE(world.RunUntilHolder(kAccessCell));
   world.RunFor(milliseconds(1500));
   // The first holder hands out all it may.
-  double before = world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+  double before = world.RequestTokens(world.HolderOf(kAccessCell), "club", 100);
   EXPECT_EQ(before, 20);
-  world.m_nodes[world.HolderOf(kAccessCell)].m_stopped = true;
+  world.m_nodes[world.HolderOf(kAccessCell)].m_paused = true;
   ASSERT_TRUE(world.RunUntil([&] {
     const size_t holder = world.HolderOf(kAccessCell);
-    return holder != FakeWorld::kNobody && !world.m_nodes[holder].m_stopped;
+    return holder != FakeWorld::kNoNode && !world.m_nodes[holder].m_paused;
   }));
   // Nothing is in stock at first, and never more than the rest of the burst.
   const double at_once =
-      world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+      world.RequestTokens(world.HolderOf(kAccessCell), "club", 100);
   EXPECT_LE(at_once, 2);
   world.RunFor(milliseconds(600));
   const double later =
-      world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+      world.RequestTokens(world.HolderOf(kAccessCell), "club", 100);
   EXPECT_LE(at_once + later, 20);
 }
 
@@ -135,7 +135,7 @@
 
 TEST(PlanTest, LeavingDataCentreTellsMovesAndReceivers) {
   PlanRecord plan;
-  plan.m_configuration = OneService();
+  plan.m_configuration = OneServiceConfiguration();
   AssignmentRecord assignment;
   for (PartitionNumber i = 0; i < 8; ++i) {
     assignment.m_owners.push_back(
@@ -152,12 +152,12 @@
 }
 
 TEST(PlanTest, PlanThatLeavesNoServerIsRefused) {
-  Configuration proposed = OneService();
+  Configuration proposed = OneServiceConfiguration();
   for (BackendServerConfig& server : proposed.m_services[0].m_servers) {
     server.m_state = ServingState::kLeaving;
   }
   std::vector<IntentFault> faults;
-  CheckAgainst(OneService(), proposed, faults);
+  CheckAgainst(OneServiceConfiguration(), proposed, faults);
   ASSERT_EQ(faults.size(), 1U);
   EXPECT_EQ(faults[0].m_place, "services.catalogue.servers");
 }
--- a/tests/integration/bad_input_test.cc
+++ b/tests/integration/bad_input_test.cc
@@ -3,7 +3,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -21,7 +21,7 @@
     m_cluster->Start();
   }
 
-  // Sends bytes to an entry and returns all it answers until it closes.
+  // Sends bytes to an entry and returns all it responses until it closes.
   std::string SendRaw(const std::string& bytes) {
     const Address address = m_cluster->EntryAddress(0);
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -31,24 +31,24 @@
     target.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&target), sizeof(target)),
               0);
-    const timeval patience{20, 0};
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    const timeval timeout{20, 0};
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     EXPECT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
-    std::string answer;
+    std::string response;
     char buffer[4096];
     ssize_t got = 0;
     while ((got = recv(fd, buffer, sizeof(buffer), 0)) > 0) {
-      answer.append(buffer, static_cast<size_t>(got));
+      response.append(buffer, static_cast<size_t>(got));
     }
     close(fd);
-    return answer;
+    return response;
   }
 
   std::unique_ptr<Cluster> m_cluster;
 };
 
-TEST_F(BadInputTest, AmbiguousOrBrokenRequestsAreRefusedAndDoNotRun) {
+TEST_F(BadInputTest, AmbiguousOrMalformedRequestsAreRefusedAndDoNotRun) {
   const std::string head = kHead;
   const std::string inner = "0\r\n\r\n" + head + "content-length: 0\r\n\r\n";
   const std::vector<std::string> requests = {
@@ -65,22 +65,22 @@
       "\x16\x03\x01\x02\x01\x01\x01\xfc\x03\x03 not http\r\n\r\n",
   };
   for (const std::string& request : requests) {
-    const std::string answer = SendRaw(request);
-    const bool refused = answer.starts_with("HTTP/1.1 400") ||
-                         answer.starts_with("HTTP/1.1 413");
-    EXPECT_TRUE(refused) << request << "\n" << answer.substr(0, 300);
-    EXPECT_EQ(answer.find("HTTP/1.1", 1), std::string::npos) << request;
+    const std::string response = SendRaw(request);
+    const bool refused = response.starts_with("HTTP/1.1 400") ||
+                         response.starts_with("HTTP/1.1 413");
+    EXPECT_TRUE(refused) << request << "\n" << response.substr(0, 300);
+    EXPECT_EQ(response.find("HTTP/1.1", 1), std::string::npos) << request;
   }
   EXPECT_TRUE(m_cluster->ReadRecords().empty());
 }
 
-TEST_F(BadInputTest, SlowCallerIsCutAndOthersAreServed) {
+TEST_F(BadInputTest, SlowClientIsDisconnectedAndOthersAreServed) {
   EXPECT_EQ(SendRaw(std::string(kHead)), "");
   HttpClient client;
   EXPECT_EQ(SendRequest(*m_cluster, client, TestRequest()).m_status, 200);
 }
 
-TEST_F(BadInputTest, BrokenMessagesToTheControlProcessAreTyped) {
+TEST_F(BadInputTest, MalformedControlMessagesGetAResponse) {
   HttpClient client;
   for (const char* target : {"/sync", "/tokens", "/rpc"}) {
     for (const std::string& body :
@@ -98,7 +98,7 @@
   }
   EXPECT_TRUE(m_cluster->Control(0).IsRunning());
   EXPECT_TRUE(
-      Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
+      Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
 }
 
 }  // namespace
--- a/tests/integration/faults_test.cc
+++ b/tests/integration/faults_test.cc
@@ -6,7 +6,7 @@
 
 #include "core/json.h"
 #include "runtime/fiber_scheduler.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 // Long enough that a pause of the machine refuses nothing.
-constexpr milliseconds kPatientDeadline{5000};
+constexpr milliseconds kLongDeadline{5000};
 
 class FaultsTest : public testing::Test {
  protected:
@@ -24,15 +24,15 @@
     m_cluster->Start();
   }
 
-  void ExpectTrueAnswers(const std::vector<TestAnswer>& answers) {
+  void ExpectConsistentResponses(const std::vector<TestResponse>& responses) {
     const auto records = m_cluster->ReadRecords();
-    EXPECT_EQ(FindTwoOwners(records), "");
-    EXPECT_EQ(FindFalseAnswer(records, answers), "");
-    EXPECT_EQ(FindMismatch(answers), "");
+    EXPECT_EQ(FindConcurrentOwners(records), "");
+    EXPECT_EQ(FindFalseResponse(records, responses), "");
+    EXPECT_EQ(FindMismatchedResponse(responses), "");
   }
 
   // Keeps a backend running, as the platform does with a crashed one.
-  void KeepRunning(const std::vector<std::string>& names) {
+  void StartSupervising(const std::vector<std::string>& names) {
     m_supervising = true;
     StartFiber([this, names] {
       while (m_supervising) {
@@ -44,92 +44,92 @@
         }
         boost::this_fiber::sleep_for(milliseconds(50));
       }
-      m_supervised = true;
+      m_supervision_ended = true;
     });
   }
 
   void StopSupervising() {
     m_supervising = false;
-    Cluster::Eventually([&] { return m_supervised; });
+    Cluster::Eventually([&] { return m_supervision_ended; });
   }
 
   std::unique_ptr<Cluster> m_cluster;
   HttpClient m_client;
   bool m_supervising = false;
-  bool m_supervised = false;
+  bool m_supervision_ended = false;
   size_t m_restarts = 0;
 };
 
-TEST_F(FaultsTest, KeysAreServedWhileThePlatformIsOut) {
+TEST_F(FaultsTest, KeysAreServedDuringAPlatformOutage) {
   ClusterSettings settings;
   settings.m_workspaces = {{"club-1"}, {"club-2"}};
-  settings.m_services[0].m_max_deadline = kPatientDeadline;
+  settings.m_services[0].m_max_deadline = kLongDeadline;
   Start(settings);
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "key_withdraw"}, {"workspace", "club-2"}, {"name", "first"}});
   TestRequest withdrawn;
   withdrawn.m_workspace = "club-2";
   ASSERT_TRUE(Cluster::Eventually([&] {
     return SendRequest(*m_cluster, m_client, withdrawn).m_status == 401;
   }));
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
-  m_cluster->SetPlatform("down", 1);
+  m_cluster->SetPlatformFault("down", 1);
   // Longer than every lease, grant and word on API keys.
   boost::this_fiber::sleep_for(seconds(6));
   EXPECT_EQ(SendRequest(*m_cluster, m_client, withdrawn).m_status, 401);
-  m_cluster->SetPlatform("down", 0);
+  m_cluster->SetPlatformFault("down", 0);
   boost::this_fiber::sleep_for(seconds(1));
   load.Stop();
   EXPECT_EQ(load.DescribeFailures(), "");
-  ExpectTrueAnswers(load.GetAnswers());
+  ExpectConsistentResponses(load.GetResponses());
 }
 
 TEST_F(FaultsTest, KeysAreServedWhileThePlatformIsSlow) {
   ClusterSettings settings;
-  settings.m_services[0].m_max_deadline = kPatientDeadline;
+  settings.m_services[0].m_max_deadline = kLongDeadline;
   Start(settings);
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
-  m_cluster->SetPlatform("delay_ms", 600);
+  m_cluster->SetPlatformFault("delay_ms", 600);
   boost::this_fiber::sleep_for(seconds(5));
-  m_cluster->SetPlatform("delay_ms", 0);
+  m_cluster->SetPlatformFault("delay_ms", 0);
   boost::this_fiber::sleep_for(seconds(1));
   load.Stop();
   EXPECT_EQ(load.DescribeFailures(), "");
-  ExpectTrueAnswers(load.GetAnswers());
+  ExpectConsistentResponses(load.GetResponses());
 }
 
-TEST_F(FaultsTest, LostAnswersChangeNothing) {
+TEST_F(FaultsTest, LostStoreResponsesChangeNothing) {
   Start();
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   for (int i = 0; i < 4; ++i) {
-    m_cluster->SetPlatform("lose_answers", 2);
-    const uint64_t version =
-        m_cluster->Change({{"kind", "server"},
-                           {"service", "catalogue"},
-                           {"name", "catalogue-2"},
-                           {"state", i % 2 == 0 ? "leaving" : "serving"}});
+    m_cluster->SetPlatformFault("lose_answers", 2);
+    const uint64_t version = m_cluster->ConfirmChange(
+        {{"kind", "server"},
+         {"service", "catalogue"},
+         {"name", "catalogue-2"},
+         {"state", i % 2 == 0 ? "leaving" : "serving"}});
     EXPECT_EQ(version, static_cast<uint64_t>(i) + 2);
-    m_cluster->SetPlatform("lose_answers", 1);
+    m_cluster->SetPlatformFault("lose_answers", 1);
     boost::this_fiber::sleep_for(milliseconds(700));
   }
   EXPECT_TRUE(
-      Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
+      Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
   load.Stop();
-  ExpectTrueAnswers(load.GetAnswers());
+  ExpectConsistentResponses(load.GetResponses());
 }
 
-TEST_F(FaultsTest, RepeatedOrderRunsOnceOverTheLossOfItsDispatcher) {
+TEST_F(FaultsTest, RetriedRequestRunsAtMostOnceAfterDispatcherLoss) {
   ClusterSettings settings;
   settings.m_services[0].m_service_time = milliseconds(60);
   Start(settings);
-  std::vector<TestAnswer> answers;
+  std::vector<TestResponse> responses;
   for (int round = 0; round < 2; ++round) {
     TestRequest order;
-    order.m_repeatable = false;
+    order.m_idempotent = false;
     order.m_id = NewRequestId("order-" + std::to_string(round));
     Json::Value where;
     where["service"] = "catalogue";
@@ -141,7 +141,7 @@
     order.m_host = (static_cast<uint32_t>(host) + 1) % 3;
     bool first_done = false;
     StartFiber([&] {
-      answers.push_back(SendRequest(*m_cluster, m_client, order));
+      responses.push_back(SendRequest(*m_cluster, m_client, order));
       first_done = true;
     });
     boost::this_fiber::sleep_for(milliseconds(30));
@@ -149,116 +149,118 @@
     ASSERT_TRUE(Cluster::Eventually([&] { return first_done; }));
     // The caller does not know what happened and repeats.
     for (int i = 0; i < 10; ++i) {
-      answers.push_back(SendRequest(*m_cluster, m_client, order));
+      responses.push_back(SendRequest(*m_cluster, m_client, order));
       boost::this_fiber::sleep_for(milliseconds(200));
     }
     m_cluster->StartEntry(static_cast<uint32_t>(host));
     ASSERT_TRUE(
-        Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
+        Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
   }
   std::map<std::string, int> effects;
   for (const RunRecord& record : m_cluster->ReadRecords()) {
-    effects[record.m_request] += record.m_what == "effect";
+    effects[record.m_request] += record.m_event == "effect";
   }
-  for (const TestAnswer& answer : answers) {
-    EXPECT_LE(effects[answer.m_request.m_id], 1);
+  for (const TestResponse& response : responses) {
+    EXPECT_LE(effects[response.m_request.m_id], 1);
   }
 }
 
-TEST_F(FaultsTest, RepeatedOrderRunsOnceOverAPlannedMove) {
+TEST_F(FaultsTest, RetriedRequestRunsOnceAcrossAPlannedMove) {
   Start();
-  std::vector<TestAnswer> answers;
+  std::vector<TestResponse> responses;
   std::vector<TestRequest> orders;
   for (int i = 0; i < 40; ++i) {
     TestRequest order;
-    order.m_repeatable = false;
+    order.m_idempotent = false;
     order.m_key = "key-" + std::to_string(i);
     order.m_id = NewRequestId("moved-" + std::to_string(i));
     orders.push_back(order);
-    answers.push_back(SendRequest(*m_cluster, m_client, order));
-    EXPECT_EQ(answers.back().m_status, 200) << answers.back().m_body;
+    responses.push_back(SendRequest(*m_cluster, m_client, order));
+    EXPECT_EQ(responses.back().m_status, 200) << responses.back().m_body;
   }
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "data_centre"}, {"name", "dc-1"}, {"state", "leaving"}});
   ASSERT_TRUE(Cluster::Eventually([&] {
     const Json::Value status = m_cluster->StatusOf("catalogue");
-    return m_cluster->IsSettled("catalogue") &&
+    return m_cluster->IsStable("catalogue") &&
            std::ranges::none_of(status["partitions"], [](const auto& row) {
              return row["owner"].asString() == "catalogue-1" ||
                     row["owner"].asString() == "catalogue-3";
            });
   }));
   for (const TestRequest& order : orders) {
-    const TestAnswer answer = SendRequest(*m_cluster, m_client, order);
+    const TestResponse response = SendRequest(*m_cluster, m_client, order);
     // The memory moved along, so the repeat is known and not only doubted.
-    EXPECT_EQ(answer.m_error, "request_duplicate") << answer.m_body;
-    answers.push_back(answer);
+    EXPECT_EQ(response.m_error, "request_duplicate") << response.m_body;
+    responses.push_back(response);
   }
   std::map<std::string, int> effects;
   for (const RunRecord& record : m_cluster->ReadRecords()) {
-    effects[record.m_request] += record.m_what == "effect";
+    effects[record.m_request] += record.m_event == "effect";
   }
   for (const TestRequest& order : orders) {
     EXPECT_EQ(effects[order.m_id], 1);
   }
 }
 
-TEST_F(FaultsTest, CrashingRequestIsCondemnedAndInnocentsAreNot) {
+TEST_F(FaultsTest, CrashingRequestIsQuarantinedAndOthersAreNot) {
   ClusterSettings settings;
   settings.m_services[0].m_servers = 2;
   settings.m_services[0].m_partitions = 4;
   Start(settings);
-  KeepRunning({"catalogue-1", "catalogue-2"});
+  StartSupervising({"catalogue-1", "catalogue-2"});
   LoadSettings load_settings;
   load_settings.m_keys = 4;
-  load_settings.m_orders = 0;
-  Load load(*m_cluster, load_settings);
+  load_settings.m_non_idempotent_percent = 0;
+  LoadGenerator load(*m_cluster, load_settings);
   load.Start();
-  TestRequest poison;
-  poison.m_key = "key-1";
-  poison.m_body = "crash-the-server";
-  bool condemned = false;
-  for (int i = 0; i < 20 && !condemned; ++i) {
-    const TestAnswer answer = SendRequest(*m_cluster, m_client, poison);
-    condemned = answer.m_error == "request_quarantined";
+  TestRequest crashing_request;
+  crashing_request.m_key = "key-1";
+  crashing_request.m_body = "crash-the-server";
+  bool quarantined = false;
+  for (int i = 0; i < 20 && !quarantined; ++i) {
+    const TestResponse response =
+        SendRequest(*m_cluster, m_client, crashing_request);
+    quarantined = response.m_error == "request_quarantined";
     boost::this_fiber::sleep_for(milliseconds(300));
   }
-  EXPECT_TRUE(condemned);
+  EXPECT_TRUE(quarantined);
   const size_t restarts = m_restarts;
   for (uint32_t i = 0; i < 9; ++i) {
-    poison.m_host = i % 3;
-    const TestAnswer answer = SendRequest(*m_cluster, m_client, poison);
-    EXPECT_EQ(answer.m_error, "request_quarantined");
-    EXPECT_EQ(answer.m_execution, "not_run");
+    crashing_request.m_host = i % 3;
+    const TestResponse response =
+        SendRequest(*m_cluster, m_client, crashing_request);
+    EXPECT_EQ(response.m_error, "request_quarantined");
+    EXPECT_EQ(response.m_execution, "not_run");
   }
   boost::this_fiber::sleep_for(milliseconds(500));
   EXPECT_EQ(m_restarts, restarts);
   load.Stop();
   StopSupervising();
-  for (const TestAnswer& answer : load.GetAnswers()) {
-    EXPECT_NE(answer.m_error, "request_quarantined");
+  for (const TestResponse& response : load.GetResponses()) {
+    EXPECT_NE(response.m_error, "request_quarantined");
   }
-  ExpectTrueAnswers(load.GetAnswers());
+  ExpectConsistentResponses(load.GetResponses());
 }
 
-TEST_F(FaultsTest, LateAndReorderedAnswersMeetTheirRequests) {
+TEST_F(FaultsTest, LateAndReorderedResponsesMatchTheirRequests) {
   ClusterSettings settings;
   settings.m_services[0].m_slots = 8;
   Start(settings);
   LoadSettings load_settings;
   load_settings.m_fibers = 24;
-  load_settings.m_pause = milliseconds(0);
-  Load load(*m_cluster, load_settings);
+  load_settings.m_request_interval = milliseconds(0);
+  LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   // Servers become slower than some deadlines and fast again, at odds.
   for (int i = 0; i < 6; ++i) {
     const std::string name = "catalogue-" + std::to_string(i % 4 + 1);
-    m_cluster->Backend(name, "{\"slow_factor\": 500, \"slow_ms\": 200}");
+    m_cluster->CallBackend(name, "{\"slow_factor\": 500, \"slow_ms\": 200}");
     boost::this_fiber::sleep_for(milliseconds(300));
   }
   load.Stop();
   EXPECT_GT(load.CountStatus(200), 0U);
-  ExpectTrueAnswers(load.GetAnswers());
+  ExpectConsistentResponses(load.GetResponses());
 }
 
 }  // namespace
--- a/tests/integration/gateway_test.cc
+++ b/tests/integration/gateway_test.cc
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kPoll{20};
-constexpr seconds kPatience{10};
+constexpr milliseconds kPollInterval{20};
+constexpr seconds kTimeout{10};
 
 Address Local(uint16_t port) {
   return {"127.0.0.1", port};
@@ -59,11 +59,11 @@
   void Write(const std::string& table,
              const std::string& key,
              const std::string& value) {
-    const TimePoint until = Clock::now() + kPatience;
+    const TimePoint until = Clock::now() + kTimeout;
     while (m_store.Write({table, key, 0, value}, seconds(1)).m_outcome !=
                StoreOutcome::kDone &&
            Clock::now() < until) {
-      boost::this_fiber::sleep_for(kPoll);
+      boost::this_fiber::sleep_for(kPollInterval);
     }
   }
 
@@ -88,9 +88,9 @@
   }
 
   bool AwaitReady(int status) {
-    const TimePoint until = Clock::now() + kPatience;
+    const TimePoint until = Clock::now() + kTimeout;
     while (ReadyStatus() != status && Clock::now() < until) {
-      boost::this_fiber::sleep_for(kPoll);
+      boost::this_fiber::sleep_for(kPollInterval);
     }
     return ReadyStatus() == status;
   }
@@ -117,7 +117,7 @@
   std::vector<HttpRequest> m_served;
 };
 
-TEST_F(GatewayTest, ServesOnceItKnowsAConfiguration) {
+TEST_F(GatewayTest, ServesOnceAConfigurationIsLoaded) {
   ASSERT_TRUE(AwaitReady(503));
   EXPECT_EQ(Send("k").m_status, 503);
   WriteDirectory();
@@ -126,7 +126,7 @@
   HttpResponse served = Send("k");
   const TimePoint until = Clock::now() + seconds(3);
   while (served.m_status == 429 && Clock::now() < until) {
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
     served = Send("k");
   }
   EXPECT_EQ(served.m_status, 200);
@@ -140,7 +140,7 @@
 }
 
 // Found on a day with many hosts: the signal ended the process.
-TEST_F(GatewayTest, AHangUpSignalChangesNothing) {
+TEST_F(GatewayTest, HangUpSignalIsIgnored) {
   WriteDirectory();
   ASSERT_TRUE(AwaitReady(200));
   m_gateway.Signal(SIGHUP);
@@ -151,7 +151,7 @@
 
 // Found in an incident: a watch of the store that waits for 25 s held the exit
 // up until the platform killed the process.
-TEST_F(GatewayTest, APlannedStopDoesNotWaitForTheStore) {
+TEST_F(GatewayTest, GracefulShutdownDoesNotWaitForTheStore) {
   WriteDirectory();
   ASSERT_TRUE(AwaitReady(200));
   const TimePoint start = Clock::now();
--- a/tests/integration/limits_test.cc
+++ b/tests/integration/limits_test.cc
@@ -6,7 +6,7 @@
 
 #include "control/control_tables.h"
 #include "core/json.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 // Tokens by which the order of two clock readings may be off.
-constexpr double kSlack = 1;
+constexpr double kTokenTolerance = 1;
 
 // Returns a description of the first window in which more effects of a
 // workspace happened than rate and burst allow, or an empty text.
@@ -28,7 +28,7 @@
   int64_t last = 0;
   size_t count = 0;
   for (const RunRecord& record : records) {
-    if (record.m_workspace != workspace || record.m_what != "begin") {
+    if (record.m_workspace != workspace || record.m_event != "begin") {
       continue;
     }
     if (last != 0) {
@@ -38,7 +38,7 @@
     last = record.m_time_us;
     level -= 1;
     ++count;
-    if (level < -kSlack) {
+    if (level < -kTokenTolerance) {
       return workspace + " is over by " + std::to_string(-level) + " after " +
              std::to_string(count) + " requests";
     }
@@ -64,12 +64,12 @@
     return settings;
   }
 
-  LoadSettings FloodSettings() const {
+  LoadSettings FloodLoadSettings() const {
     LoadSettings load;
     load.m_hosts = {0, 1, 2, 3};
     load.m_workspaces = {"club-1"};
     load.m_fibers = 24;
-    load.m_orders = 0;
+    load.m_non_idempotent_percent = 0;
     return load;
   }
 
@@ -78,7 +78,7 @@
 
 TEST_F(LimitsTest, RateAndBurstHoldOverAllEntries) {
   Start(RateSettings());
-  Load flood(*m_cluster, FloodSettings());
+  LoadGenerator flood(*m_cluster, FloodLoadSettings());
   flood.Start();
   boost::this_fiber::sleep_for(seconds(4));
   flood.Stop();
@@ -86,12 +86,12 @@
   EXPECT_EQ(FindOverRate(records, "club-1", kRate, kBurst), "");
   // The rate is not only a limit: what it allows is served.
   EXPECT_GE(flood.CountStatus(200), static_cast<size_t>(kRate * 3));
-  EXPECT_EQ(FindFalseAnswer(records, flood.GetAnswers()), "");
+  EXPECT_EQ(FindFalseResponse(records, flood.GetResponses()), "");
 }
 
-TEST_F(LimitsTest, RateHoldsWhenTheHolderOfTokensIsLost) {
+TEST_F(LimitsTest, RateHoldsWhenTheTokenIssuerIsKilled) {
   Start(RateSettings());
-  Load flood(*m_cluster, FloodSettings());
+  LoadGenerator flood(*m_cluster, FloodLoadSettings());
   flood.Start();
   boost::this_fiber::sleep_for(seconds(2));
   const auto holder = static_cast<uint32_t>(m_cluster->HolderOf(kAccessCell));
@@ -102,9 +102,9 @@
             "");
 }
 
-TEST_F(LimitsTest, RateHoldsWhenTheHolderOfTokensIsPaused) {
+TEST_F(LimitsTest, RateHoldsWhenTheTokenIssuerIsPaused) {
   Start(RateSettings());
-  Load flood(*m_cluster, FloodSettings());
+  LoadGenerator flood(*m_cluster, FloodLoadSettings());
   flood.Start();
   boost::this_fiber::sleep_for(seconds(2));
   const auto holder = static_cast<uint32_t>(m_cluster->HolderOf(kAccessCell));
@@ -117,23 +117,23 @@
             "");
 }
 
-TEST_F(LimitsTest, NeighbourOverItsRateStarvesNobody) {
+TEST_F(LimitsTest, WorkspaceOverItsRateDoesNotStarveOthers) {
   ClusterSettings settings = RateSettings();
   Start(settings);
-  Load flood(*m_cluster, FloodSettings());
+  LoadGenerator flood(*m_cluster, FloodLoadSettings());
   flood.Start();
-  LoadSettings calm_settings = FloodSettings();
+  LoadSettings calm_settings = FloodLoadSettings();
   calm_settings.m_workspaces = {"club-2"};
   calm_settings.m_fibers = 1;
-  calm_settings.m_pause = milliseconds(25);
-  Load calm(*m_cluster, calm_settings);
+  calm_settings.m_request_interval = milliseconds(25);
+  LoadGenerator calm(*m_cluster, calm_settings);
   calm.Start();
   boost::this_fiber::sleep_for(seconds(3));
   calm.Stop();
   flood.Stop();
-  const size_t refused = calm.GetAnswers().size() - calm.CountStatus(200);
+  const size_t refused = calm.GetResponses().size() - calm.CountStatus(200);
   // Under 1% of the requests within the rate may be refused.
-  EXPECT_LE(refused * 100, calm.GetAnswers().size());
+  EXPECT_LE(refused * 100, calm.GetResponses().size());
 }
 
 TEST_F(LimitsTest, NoServerRunsMoreThanItsSlots) {
@@ -143,20 +143,20 @@
   Start(settings);
   LoadSettings load_settings;
   load_settings.m_fibers = 40;
-  load_settings.m_pause = milliseconds(0);
-  Load load(*m_cluster, load_settings);
+  load_settings.m_request_interval = milliseconds(0);
+  LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(seconds(2));
   load.Stop();
   for (const char* name : {"catalogue-1", "catalogue-2"}) {
-    const Json::Value state = m_cluster->Backend(name);
+    const Json::Value state = m_cluster->CallBackend(name);
     EXPECT_LE(state["most_running"].asUInt(), 2U);
     EXPECT_EQ(state["most_waiting"].asUInt(), 0U);
     EXPECT_EQ(state["shed"].asUInt(), 0U);
   }
 }
 
-TEST_F(LimitsTest, ColdServerGetsNoMoreThanItBears) {
+TEST_F(LimitsTest, ColdServerIsNotOverloaded) {
   ClusterSettings settings;
   settings.m_services[0].m_servers = 2;
   settings.m_services[0].m_slots = 6;
@@ -164,8 +164,8 @@
   Start(settings);
   LoadSettings load_settings;
   load_settings.m_fibers = 30;
-  load_settings.m_pause = milliseconds(0);
-  Load load(*m_cluster, load_settings);
+  load_settings.m_request_interval = milliseconds(0);
+  LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(seconds(1));
   // Restarted by its host, and turned cold again without warning.
@@ -174,9 +174,11 @@
   boost::this_fiber::sleep_for(seconds(3));
   load.Stop();
   for (const char* name : {"catalogue-1", "catalogue-2"}) {
-    EXPECT_EQ(m_cluster->Backend(name)["cold_overloads"].asUInt(), 0U) << name;
+    EXPECT_EQ(m_cluster->CallBackend(name)["cold_overloads"].asUInt(), 0U)
+        << name;
   }
-  EXPECT_EQ(FindFalseAnswer(m_cluster->ReadRecords(), load.GetAnswers()), "");
+  EXPECT_EQ(FindFalseResponse(m_cluster->ReadRecords(), load.GetResponses()),
+            "");
 }
 
 }  // namespace
--- a/tests/integration/operations_test.cc
+++ b/tests/integration/operations_test.cc
@@ -6,7 +6,7 @@
 
 #include "core/json.h"
 #include "runtime/fiber_scheduler.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -14,11 +14,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kNoNewWorkAfter{3000};
-constexpr milliseconds kKeyDeadAfter{3000};
+constexpr milliseconds kNoNewRequestsAfter{3000};
+constexpr milliseconds kKeyRejectedAfter{3000};
 constexpr milliseconds kInForceAfter{6000};
-constexpr milliseconds kPatientDeadline{5000};
-constexpr seconds kPatience{30};
+constexpr milliseconds kLongDeadline{5000};
+constexpr seconds kTimeout{30};
 
 int64_t MicrosecondsOf(TimePoint time) {
   return std::chrono::duration_cast<std::chrono::microseconds>(
@@ -31,7 +31,7 @@
   void Start(ClusterSettings settings = ClusterSettings()) {
     // Long enough that a pause of the machine refuses nothing.
     if (settings.m_services[0].m_max_deadline == TestService().m_max_deadline) {
-      settings.m_services[0].m_max_deadline = kPatientDeadline;
+      settings.m_services[0].m_max_deadline = kLongDeadline;
     }
     m_cluster = std::make_unique<Cluster>(settings);
     m_cluster->Start();
@@ -39,17 +39,17 @@
 
   // The servers receive nothing more; from the stated time on where times are
   // checked.
-  void ExpectNoNewWork(const std::vector<std::string>& servers,
-                       TimePoint confirmed) {
+  void ExpectNoNewRequests(const std::vector<std::string>& servers,
+                           TimePoint confirmed) {
     EXPECT_TRUE(Cluster::Eventually(
         [&] {
           const TimePoint now = Clock::now();
           boost::this_fiber::sleep_for(seconds(1));
           return CountBegins(servers, now) == 0;
         },
-        kPatience));
-    if (Cluster::ChecksTimes()) {
-      EXPECT_EQ(CountBegins(servers, confirmed + kNoNewWorkAfter), 0U);
+        kTimeout));
+    if (Cluster::EnforcesTimeLimits()) {
+      EXPECT_EQ(CountBegins(servers, confirmed + kNoNewRequestsAfter), 0U);
     }
   }
 
@@ -57,22 +57,22 @@
   size_t CountBegins(const std::vector<std::string>& servers, TimePoint time) {
     size_t count = 0;
     for (const RunRecord& record : m_cluster->ReadRecords()) {
-      count += record.m_what == "begin" &&
+      count += record.m_event == "begin" &&
                record.m_time_us > MicrosecondsOf(time) &&
                std::ranges::count(servers, record.m_server) > 0;
     }
     return count;
   }
 
-  void ExpectTrueAnswers(const Load& load) {
+  void ExpectConsistentResponses(const LoadGenerator& load) {
     const auto records = m_cluster->ReadRecords();
-    EXPECT_EQ(FindTwoOwners(records), "");
-    EXPECT_EQ(FindFalseAnswer(records, load.GetAnswers()), "");
-    EXPECT_EQ(FindMismatch(load.GetAnswers()), "");
+    EXPECT_EQ(FindConcurrentOwners(records), "");
+    EXPECT_EQ(FindFalseResponse(records, load.GetResponses()), "");
+    EXPECT_EQ(FindMismatchedResponse(load.GetResponses()), "");
   }
 
-  static size_t CountFailures(const Load& load) {
-    return load.GetAnswers().size() - load.CountStatus(200);
+  static size_t CountFailures(const LoadGenerator& load) {
+    return load.GetResponses().size() - load.CountStatus(200);
   }
 
   std::unique_ptr<Cluster> m_cluster;
@@ -81,16 +81,16 @@
 
 TEST_F(OperationsTest, DataCentreLeavesAndReturns) {
   Start();
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   const TimePoint confirmed = Clock::now();
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "data_centre"}, {"name", "dc-2"}, {"state", "leaving"}});
   boost::this_fiber::sleep_for(seconds(4));
-  ExpectNoNewWork({"catalogue-2", "catalogue-4"}, confirmed);
+  ExpectNoNewRequests({"catalogue-2", "catalogue-4"}, confirmed);
   const TimePoint returned = Clock::now();
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "data_centre"}, {"name", "dc-2"}, {"state", "serving"}});
   EXPECT_TRUE(Cluster::Eventually([&] {
     return CountBegins({"catalogue-2", "catalogue-4"}, returned) > 10;
@@ -98,7 +98,7 @@
   load.Stop();
   // Planned moves refuse nothing.
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
 class DrainTest : public OperationsTest,
@@ -115,25 +115,25 @@
   LoadSettings load_settings;
   load_settings.m_fibers = 16;
   load_settings.m_keys = 4;
-  load_settings.m_pause = milliseconds(0);
+  load_settings.m_request_interval = milliseconds(0);
   Json::Value where;
   where["service"] = "catalogue";
   where["key"] = "key-1";
   const std::string owner =
       m_cluster->Rpc("explain", where)["owner"].asString();
-  Load load(*m_cluster, load_settings);
+  LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   const TimePoint confirmed = Clock::now();
-  m_cluster->Change({{"kind", "server"},
-                     {"service", "catalogue"},
-                     {"name", owner},
-                     {"state", "leaving"}});
+  m_cluster->ConfirmChange({{"kind", "server"},
+                            {"service", "catalogue"},
+                            {"name", owner},
+                            {"state", "leaving"}});
   boost::this_fiber::sleep_for(seconds(4));
-  ExpectNoNewWork({owner}, confirmed);
+  ExpectNoNewRequests({owner}, confirmed);
   load.Stop();
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
 // Without a fence only the dispatcher's letting go keeps two owners apart.
@@ -144,11 +144,11 @@
                            return param_info.param ? "Checked" : "Unchecked";
                          });
 
-TEST_F(OperationsTest, PlannedStopOfAnEntryCutsNothing) {
+TEST_F(OperationsTest, EntryShutdownFailsNoRequest) {
   ClusterSettings settings;
   settings.m_services[0].m_service_time = milliseconds(20);
   Start(settings);
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   m_cluster->Entry(1).Signal(SIGTERM);
@@ -160,17 +160,17 @@
         m_cluster->EntryAddress(1), health, Clock::now() + seconds(1));
     return result.m_response.m_status == 503;
   }));
-  load.Avoid(1);
+  load.StopSendingTo(1);
   EXPECT_EQ(m_cluster->Entry(1).Wait(), 0);
   boost::this_fiber::sleep_for(seconds(1));
   load.Stop();
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
-TEST_F(OperationsTest, PlannedStopOfAControllerCutsNothing) {
+TEST_F(OperationsTest, ControllerShutdownFailsNoRequest) {
   Start();
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   const auto holder = static_cast<uint32_t>(m_cluster->HolderOf("catalogue"));
@@ -180,19 +180,19 @@
   boost::this_fiber::sleep_for(seconds(2));
   load.Stop();
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
-TEST_F(OperationsTest, WithdrawnKeyStopsOnOpenConnections) {
+TEST_F(OperationsTest, WithdrawnKeyIsRefusedOnOpenConnections) {
   ClusterSettings settings;
-  settings.m_links = true;
+  settings.m_with_fault_proxy = true;
   Start(settings);
   TestRequest request;
   ASSERT_EQ(SendRequest(*m_cluster, m_client, request).m_status, 200);
   // One entry hears nothing any more.
-  m_cluster->CutEntryLinks(2, "freeze");
+  m_cluster->SetEntryLinkFaults(2, "freeze");
   const TimePoint confirmed = Clock::now();
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "key_withdraw"}, {"workspace", "club-1"}, {"name", "first"}});
   std::map<uint32_t, TimePoint> last_success;
   while (Clock::now() < confirmed + seconds(4)) {
@@ -207,8 +207,8 @@
   for (uint32_t host = 0; host < 3; ++host) {
     request.m_host = host;
     EXPECT_NE(SendRequest(*m_cluster, m_client, request).m_status, 200);
-    if (Cluster::ChecksTimes()) {
-      EXPECT_LE(last_success[host] - confirmed, kKeyDeadAfter) << host;
+    if (Cluster::EnforcesTimeLimits()) {
+      EXPECT_LE(last_success[host] - confirmed, kKeyRejectedAfter) << host;
     }
   }
   // The cut entry does not even judge keys any more.
@@ -217,13 +217,13 @@
   EXPECT_EQ(SendRequest(*m_cluster, m_client, request).m_error, "access_stale");
 }
 
-TEST_F(OperationsTest, OperatorsRaceAndTheLoserSeesWhatChanged) {
+TEST_F(OperationsTest, StalePlanIsRefusedWithTheConflictingChange) {
   Start();
-  const std::string first = m_cluster->Propose({{"kind", "server"},
-                                                {"service", "catalogue"},
-                                                {"name", "catalogue-1"},
-                                                {"state", "leaving"}});
-  const std::string second = m_cluster->Propose(
+  const std::string first = m_cluster->ProposeChange({{"kind", "server"},
+                                                      {"service", "catalogue"},
+                                                      {"name", "catalogue-1"},
+                                                      {"state", "leaving"}});
+  const std::string second = m_cluster->ProposeChange(
       {{"kind", "data_centre"}, {"name", "dc-2"}, {"state", "leaving"}});
   Json::Value parameters;
   parameters["plan"] = first;
@@ -244,14 +244,15 @@
   }
 }
 
-TEST_F(OperationsTest, RacingConfirmationsHaveOneWinner) {
+TEST_F(OperationsTest, OnlyOneConcurrentConfirmationSucceeds) {
   Start();
   std::vector<std::string> plans;
   for (int i = 0; i < 6; ++i) {
-    plans.push_back(m_cluster->Propose({{"kind", "key_grant"},
-                                        {"workspace", "club-1"},
-                                        {"name", "key" + std::to_string(i)},
-                                        {"digest", std::string(64, 'a')}}));
+    plans.push_back(
+        m_cluster->ProposeChange({{"kind", "key_grant"},
+                                  {"workspace", "club-1"},
+                                  {"name", "key" + std::to_string(i)},
+                                  {"digest", std::string(64, 'a')}}));
   }
   int confirmed = 0;
   int finished = 0;
@@ -293,11 +294,11 @@
     ended = true;
   });
   for (int i = 0; i < 3; ++i) {
-    const uint64_t version =
-        m_cluster->Change({{"kind", "server"},
-                           {"service", "catalogue"},
-                           {"name", "catalogue-3"},
-                           {"state", i % 2 == 0 ? "leaving" : "serving"}});
+    const uint64_t version = m_cluster->ConfirmChange(
+        {{"kind", "server"},
+         {"service", "catalogue"},
+         {"name", "catalogue-3"},
+         {"state", i % 2 == 0 ? "leaving" : "serving"}});
     if (i == 1) {
       const auto holder =
           static_cast<uint32_t>(m_cluster->HolderOf("catalogue"));
@@ -316,8 +317,8 @@
                               entry["heard_ms_ago"].asInt64() > 1000;
                      });
         },
-        Cluster::ChecksTimes() ? Duration(kInForceAfter)
-                               : Duration(kPatience)));
+        Cluster::EnforcesTimeLimits() ? Duration(kInForceAfter)
+                                      : Duration(kTimeout)));
   }
   watching = false;
   Cluster::Eventually([&] { return ended; });
@@ -326,13 +327,13 @@
 
 TEST_F(OperationsTest, FinishedAssignmentSurvivesTheLossOfAllControllers) {
   Start();
-  m_cluster->Change({{"kind", "server"},
-                     {"service", "catalogue"},
-                     {"name", "catalogue-1"},
-                     {"state", "leaving"}});
+  m_cluster->ConfirmChange({{"kind", "server"},
+                            {"service", "catalogue"},
+                            {"name", "catalogue-1"},
+                            {"state", "leaving"}});
   ASSERT_TRUE(Cluster::Eventually([&] {
     const Json::Value status = m_cluster->StatusOf("catalogue");
-    return m_cluster->IsSettled("catalogue") &&
+    return m_cluster->IsStable("catalogue") &&
            std::ranges::none_of(status["partitions"], [](const auto& row) {
              return row["owner"].asString() == "catalogue-1";
            });
@@ -368,7 +369,7 @@
     }
   }));
   ASSERT_TRUE(
-      Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
+      Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
   // The new controllers may move partitions on, under later epochs; nothing
   // that was recorded may be undone.
   const auto after = owners();
--- a/tests/integration/ownership_test.cc
+++ b/tests/integration/ownership_test.cc
@@ -4,7 +4,7 @@
 #include <boost/fiber/operations.hpp>
 
 #include "core/json.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -12,9 +12,9 @@
 using std::chrono::milliseconds;
 
 // From the size to design for: a key is served again within this time.
-constexpr milliseconds kServedAgain{2000};
-constexpr milliseconds kWarmUp{500};
-constexpr milliseconds kAfterwards{4000};
+constexpr milliseconds kMaxOutage{2000};
+constexpr milliseconds kRunBeforeFault{500};
+constexpr milliseconds kRunAfterFault{4000};
 
 struct OwnershipCase {
   bool m_checks_fence;
@@ -25,55 +25,58 @@
   OwnershipTest() {
     ClusterSettings settings;
     settings.m_services[0].m_checks_fence = GetParam().m_checks_fence;
-    settings.m_links = true;
+    settings.m_with_fault_proxy = true;
     m_cluster = std::make_unique<Cluster>(settings);
     m_cluster->Start();
-    m_load = std::make_unique<Load>(*m_cluster, LoadSettings());
+    m_load = std::make_unique<LoadGenerator>(*m_cluster, LoadSettings());
   }
 
   void RunWith(const std::function<void()>& fault) {
     m_load->Start();
-    boost::this_fiber::sleep_for(kWarmUp);
+    boost::this_fiber::sleep_for(kRunBeforeFault);
     m_fault_at = Clock::now();
     fault();
-    boost::this_fiber::sleep_for(kAfterwards);
+    boost::this_fiber::sleep_for(kRunAfterFault);
     m_load->Stop();
     const auto records = m_cluster->ReadRecords();
-    EXPECT_EQ(FindTwoOwners(records), "");
-    EXPECT_EQ(FindFalseAnswer(records, m_load->GetAnswers()), "");
-    EXPECT_EQ(FindMismatch(m_load->GetAnswers()), "");
+    EXPECT_EQ(FindConcurrentOwners(records), "");
+    EXPECT_EQ(FindFalseResponse(records, m_load->GetResponses()), "");
+    EXPECT_EQ(FindMismatchedResponse(m_load->GetResponses()), "");
   }
 
   // A caller whose own entry is frozen waits for it; the balancer looks after
   // that. What counts is how the others are served.
-  milliseconds Gap(int without_host = -1) const {
-    std::vector<TestAnswer> answers = m_load->GetAnswers();
-    std::erase_if(answers, [&](const TestAnswer& answer) {
-      return static_cast<int>(answer.m_request.m_host) == without_host;
+  milliseconds LongestOutage(int without_host = -1) const {
+    std::vector<TestResponse> responses = m_load->GetResponses();
+    std::erase_if(responses, [&](const TestResponse& response) {
+      return static_cast<int>(response.m_request.m_host) == without_host;
     });
-    return std::chrono::duration_cast<milliseconds>(LongestGap(answers));
+    return std::chrono::duration_cast<milliseconds>(
+        LongestKeyOutage(responses));
   }
 
   // Keys are served again; within the stated time where times are checked.
-  void ExpectServedAgain(int without_host = -1) {
+  void ExpectServiceRestored(int without_host = -1) {
     EXPECT_TRUE(
-        Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
-    const TestAnswer answer = SendRequest(*m_cluster, m_client, TestRequest());
-    EXPECT_EQ(answer.m_status, 200) << answer.m_body;
-    RecordProperty("gap_ms", static_cast<int>(Gap(without_host).count()));
-    if (Cluster::ChecksTimes()) {
-      EXPECT_LE(Gap(without_host), kServedAgain) << Histogram();
+        Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
+    const TestResponse response =
+        SendRequest(*m_cluster, m_client, TestRequest());
+    EXPECT_EQ(response.m_status, 200) << response.m_body;
+    RecordProperty("gap_ms",
+                   static_cast<int>(LongestOutage(without_host).count()));
+    if (Cluster::EnforcesTimeLimits()) {
+      EXPECT_LE(LongestOutage(without_host), kMaxOutage) << ResponseHistogram();
     }
   }
 
   // Answers by time since the fault, for the report of a failure.
-  std::string Histogram() const {
+  std::string ResponseHistogram() const {
     std::map<int64_t, std::map<std::string, int>> counts;
-    for (const TestAnswer& answer : m_load->GetAnswers()) {
+    for (const TestResponse& response : m_load->GetResponses()) {
       const auto at = std::chrono::duration_cast<milliseconds>(
-          answer.m_answered - m_fault_at);
+          response.m_received_at - m_fault_at);
       ++counts[at.count() / 200 * 200]
-              [std::to_string(answer.m_status) + answer.m_error];
+              [std::to_string(response.m_status) + response.m_error];
     }
     std::string text;
     for (const auto& [at, kinds] : counts) {
@@ -99,7 +102,7 @@
   }
 
   std::unique_ptr<Cluster> m_cluster;
-  std::unique_ptr<Load> m_load;
+  std::unique_ptr<LoadGenerator> m_load;
   HttpClient m_client;
   TimePoint m_fault_at;
 };
@@ -107,7 +110,7 @@
 TEST_P(OwnershipTest, KilledServer) {
   const std::string owner = OwnerOfKey1();
   RunWith([&] { m_cluster->BackendProcess(owner).Kill(); });
-  ExpectServedAgain();
+  ExpectServiceRestored();
 }
 
 TEST_P(OwnershipTest, FrozenServerReturns) {
@@ -118,13 +121,13 @@
     boost::this_fiber::sleep_for(milliseconds(2500));
     server.Signal(SIGCONT);
   });
-  ExpectServedAgain();
+  ExpectServiceRestored();
 }
 
 TEST_P(OwnershipTest, KilledController) {
   const uint32_t holder = Holder();
   RunWith([&] { m_cluster->Control(holder).Kill(); });
-  ExpectServedAgain();
+  ExpectServiceRestored();
   EXPECT_NE(m_cluster->HolderOf("catalogue"), static_cast<int>(holder));
 }
 
@@ -135,33 +138,33 @@
     boost::this_fiber::sleep_for(milliseconds(2500));
     m_cluster->Control(holder).Signal(SIGCONT);
   });
-  ExpectServedAgain();
+  ExpectServiceRestored();
 }
 
 TEST_P(OwnershipTest, KilledEntry) {
   RunWith([&] {
-    m_load->Avoid(1);
+    m_load->StopSendingTo(1);
     m_cluster->Entry(1).Kill();
   });
-  ExpectServedAgain();
+  ExpectServiceRestored();
 }
 
 TEST_P(OwnershipTest, PausedEntryReturns) {
   RunWith([&] {
-    m_load->Avoid(1);
+    m_load->StopSendingTo(1);
     m_cluster->Entry(1).Signal(SIGSTOP);
     boost::this_fiber::sleep_for(milliseconds(2500));
     m_cluster->Entry(1).Signal(SIGCONT);
   });
-  ExpectServedAgain(1);
+  ExpectServiceRestored(1);
 }
 
 TEST_P(OwnershipTest, EntryCutFromControl) {
   RunWith([&] {
-    m_load->Avoid(1);
-    m_cluster->CutEntryLinks(1, "freeze");
+    m_load->StopSendingTo(1);
+    m_cluster->SetEntryLinkFaults(1, "freeze");
   });
-  ExpectServedAgain();
+  ExpectServiceRestored();
 }
 
 // The cut-off entry still knows the old owner and has callers of its own.
@@ -170,31 +173,31 @@
   const int host = m_cluster->DispatcherHostOf("catalogue", owner);
   ASSERT_GE(host, 0);
   RunWith([&] {
-    m_cluster->CutEntryLinks(static_cast<uint32_t>(host), "freeze");
-    m_cluster->Change({{"kind", "server"},
-                       {"service", "catalogue"},
-                       {"name", owner},
-                       {"state", "leaving"}});
+    m_cluster->SetEntryLinkFaults(static_cast<uint32_t>(host), "freeze");
+    m_cluster->ConfirmChange({{"kind", "server"},
+                              {"service", "catalogue"},
+                              {"name", owner},
+                              {"state", "leaving"}});
   });
   EXPECT_NE(OwnerOfKey1(), owner);
 }
 
 TEST_P(OwnershipTest, OneWayLossFromEntryToControl) {
   RunWith([&] {
-    m_load->Avoid(2);
-    m_cluster->CutEntryLinks(2, "lose_answers");
+    m_load->StopSendingTo(2);
+    m_cluster->SetEntryLinkFaults(2, "lose_answers");
   });
-  ExpectServedAgain();
+  ExpectServiceRestored();
 }
 
 TEST_P(OwnershipTest, ControllerCutFromThePlatform) {
   const uint32_t holder = Holder();
-  RunWith([&] { m_cluster->CutPlatformLink(holder, "freeze"); });
-  ExpectServedAgain();
+  RunWith([&] { m_cluster->SetPlatformLinkFault(holder, "freeze"); });
+  ExpectServiceRestored();
   EXPECT_NE(m_cluster->HolderOf("catalogue"), static_cast<int>(holder));
 }
 
-// Two faults together: no time is promised, only one owner and true answers.
+// Two faults together: no time is promised, only one owner and true responses.
 TEST_P(OwnershipTest, KilledServerAndController) {
   const std::string owner = OwnerOfKey1();
   const uint32_t holder = Holder();
@@ -203,7 +206,7 @@
     m_cluster->BackendProcess(owner).Kill();
   });
   EXPECT_TRUE(
-      Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
+      Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
 }
 
 INSTANTIATE_TEST_SUITE_P(Fence,
--- a/tests/integration/path_test.cc
+++ b/tests/integration/path_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "core/json.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -22,17 +22,17 @@
 
   static void TearDownTestSuite() { GetCluster().~Cluster(); }
 
-  TestAnswer Send(const TestRequest& request) {
+  TestResponse Send(const TestRequest& request) {
     return SendRequest(GetCluster(), m_client, request);
   }
 
   // Sends a raw request to the first entry.
-  HttpResponse Raw(const HttpRequest& request) {
+  HttpResponse SendRaw(const HttpRequest& request) {
     return m_client.Call(GetCluster().EntryAddress(0), request,
                          std::chrono::seconds(5));
   }
 
-  static HttpRequest Valid() {
+  static HttpRequest ValidRequest() {
     HttpRequest request;
     request.m_target = "/catalogue/read";
     request.m_headers.Set("authorization", "Bearer key-club-1");
@@ -53,15 +53,15 @@
   HttpClient m_client;
 };
 
-TEST_F(PathTest, AnyEntryReachesTheOneOwner) {
+TEST_F(PathTest, EveryEntryReachesTheSameOwner) {
   std::string server;
   for (uint32_t host = 0; host < 3; ++host) {
     TestRequest request;
     request.m_host = host;
-    const TestAnswer answer = Send(request);
-    ASSERT_EQ(answer.m_status, 200) << answer.m_body;
-    EXPECT_EQ(answer.m_execution, "ran");
-    const Json::Value body = ParseJson(answer.m_body);
+    const TestResponse response = Send(request);
+    ASSERT_EQ(response.m_status, 200) << response.m_body;
+    EXPECT_EQ(response.m_execution, "ran");
+    const Json::Value body = ParseJson(response.m_body);
     EXPECT_EQ(body["workspace"].asString(), "club-1");
     if (server.empty()) {
       server = body["server"].asString();
@@ -70,9 +70,9 @@
   }
 }
 
-TEST_F(PathTest, BackendSeesIdentityButNoKey) {
+TEST_F(PathTest, BackendReceivesIdentityButNoApiKey) {
   TestRequest request;
-  request.m_repeatable = false;
+  request.m_idempotent = false;
   request.m_id = NewRequestId("identity");
   ASSERT_EQ(Send(request).m_status, 200);
   std::string seen;
@@ -88,17 +88,17 @@
   EXPECT_EQ(seen.find("authorization"), std::string::npos);
 }
 
-TEST_F(PathTest, SecretsAppearNowhere) {
-  HttpRequest copied = Valid();
+TEST_F(PathTest, SecretsAreNotLeaked) {
+  HttpRequest copied = ValidRequest();
   copied.m_headers.Set("x-copy", "my key is key-club-1");
   copied.m_headers.Set("cookie", "session=key-club-1");
-  EXPECT_EQ(Raw(copied).m_status, 200);
-  HttpRequest in_target = Valid();
+  EXPECT_EQ(SendRaw(copied).m_status, 200);
+  HttpRequest in_target = ValidRequest();
   in_target.m_target = "/catalogue/read?token=key-club-1";
-  ExpectRefusal(Raw(in_target), ErrorCode::kRequestMalformed);
-  HttpRequest wrong = Valid();
+  ExpectRefusal(SendRaw(in_target), ErrorCode::kRequestMalformed);
+  HttpRequest wrong = ValidRequest();
   wrong.m_headers.Set("authorization", "Bearer wrong-secret-xyz");
-  const HttpResponse refused = Raw(wrong);
+  const HttpResponse refused = SendRaw(wrong);
   EXPECT_EQ(refused.m_body.find("wrong-secret-xyz"), std::string::npos);
   const std::string logs = GetCluster().ReadLogs();
   EXPECT_EQ(logs.find("key-club-1"), std::string::npos);
@@ -106,77 +106,77 @@
   EXPECT_EQ(logs.find("test-cluster-secret"), std::string::npos);
 }
 
-TEST_F(PathTest, RefusalsAreTyped) {
-  HttpRequest no_key = Valid();
+TEST_F(PathTest, RefusalsCarryAnErrorCode) {
+  HttpRequest no_key = ValidRequest();
   no_key.m_headers.Remove("authorization");
-  ExpectRefusal(Raw(no_key), ErrorCode::kApiKeyMissing);
+  ExpectRefusal(SendRaw(no_key), ErrorCode::kApiKeyMissing);
 
-  HttpRequest unknown = Valid();
+  HttpRequest unknown = ValidRequest();
   unknown.m_headers.Set("authorization", "Bearer nobody");
-  ExpectRefusal(Raw(unknown), ErrorCode::kApiKeyUnknown);
+  ExpectRefusal(SendRaw(unknown), ErrorCode::kApiKeyUnknown);
 
-  HttpRequest no_service = Valid();
+  HttpRequest no_service = ValidRequest();
   no_service.m_target = "/nowhere/read";
-  ExpectRefusal(Raw(no_service), ErrorCode::kRouteUnknown);
+  ExpectRefusal(SendRaw(no_service), ErrorCode::kRouteUnknown);
 
-  HttpRequest no_route = Valid();
+  HttpRequest no_route = ValidRequest();
   no_route.m_method = "DELETE";
-  ExpectRefusal(Raw(no_route), ErrorCode::kRouteUnknown);
+  ExpectRefusal(SendRaw(no_route), ErrorCode::kRouteUnknown);
 
-  HttpRequest no_partition = Valid();
+  HttpRequest no_partition = ValidRequest();
   no_partition.m_headers.Remove("x-partition-key");
-  ExpectRefusal(Raw(no_partition), ErrorCode::kPartitionKeyMissing);
+  ExpectRefusal(SendRaw(no_partition), ErrorCode::kPartitionKeyMissing);
 
-  HttpRequest large = Valid();
+  HttpRequest large = ValidRequest();
   large.m_method = "POST";
   large.m_target = "/catalogue/order";
   large.m_body.assign(5000, 'x');
-  ExpectRefusal(Raw(large), ErrorCode::kRequestTooLarge);
+  ExpectRefusal(SendRaw(large), ErrorCode::kRequestTooLarge);
 
-  HttpRequest headers = Valid();
+  HttpRequest headers = ValidRequest();
   headers.m_headers.Set("x-long", std::string(20'000, 'x'));
-  ExpectRefusal(Raw(headers), ErrorCode::kHeaderTooLarge);
+  ExpectRefusal(SendRaw(headers), ErrorCode::kHeaderTooLarge);
 
   for (const char* id : {"order-1", "1234567890123", "123456789012x-a",
                          "9999999999999-future", "1234567890123-a b"}) {
-    HttpRequest bad_id = Valid();
+    HttpRequest bad_id = ValidRequest();
     bad_id.m_method = "POST";
     bad_id.m_target = "/catalogue/order";
     bad_id.m_headers.Set("x-request-id", id);
-    ExpectRefusal(Raw(bad_id), ErrorCode::kRequestIdMalformed);
+    ExpectRefusal(SendRaw(bad_id), ErrorCode::kRequestIdMalformed);
   }
 
-  HttpRequest deadline = Valid();
+  HttpRequest deadline = ValidRequest();
   deadline.m_headers.Set("x-deadline-ms", "soon");
-  ExpectRefusal(Raw(deadline), ErrorCode::kRequestMalformed);
+  ExpectRefusal(SendRaw(deadline), ErrorCode::kRequestMalformed);
 }
 
-TEST_F(PathTest, OldIdCannotBeVerified) {
+TEST_F(PathTest, OldRequestIdCannotBeVerified) {
   TestRequest request;
-  request.m_repeatable = false;
+  request.m_idempotent = false;
   request.m_id = "1234567890123-long-ago";
-  const TestAnswer answer = Send(request);
-  EXPECT_EQ(answer.m_error, "request_unverifiable");
-  EXPECT_EQ(answer.m_execution, "unknown");
+  const TestResponse response = Send(request);
+  EXPECT_EQ(response.m_error, "request_unverifiable");
+  EXPECT_EQ(response.m_execution, "unknown");
 }
 
-TEST_F(PathTest, OverRateIsRefused) {
+TEST_F(PathTest, RequestsOverTheRateAreRefused) {
   size_t refused = 0;
   for (int i = 0; i < 20; ++i) {
     TestRequest request;
     request.m_workspace = "club-2";
-    const TestAnswer answer = Send(request);
-    if (answer.m_status == 429) {
-      EXPECT_EQ(answer.m_error, "rate_exceeded");
-      EXPECT_EQ(answer.m_execution, "not_run");
+    const TestResponse response = Send(request);
+    if (response.m_status == 429) {
+      EXPECT_EQ(response.m_error, "rate_exceeded");
+      EXPECT_EQ(response.m_execution, "not_run");
       ++refused;
     }
   }
   EXPECT_GT(refused, 0U);
 }
 
-TEST_F(PathTest, InternalPortAsksForTheClusterSecret) {
-  HttpRequest request = Valid();
+TEST_F(PathTest, InternalPortsRequireTheClusterSecret) {
+  HttpRequest request = ValidRequest();
   request.m_headers.Set("x-foxtail-cell", "catalogue");
   const HttpResponse response = m_client.Call(GetCluster().InternalAddress(0),
                                               request, std::chrono::seconds(5));
@@ -190,21 +190,21 @@
                 ErrorCode::kClusterSecretWrong);
 }
 
-TEST_F(PathTest, ReservedHeadersOfCallersAreDropped) {
-  HttpRequest request = Valid();
+TEST_F(PathTest, ReservedClientHeadersAreDropped) {
+  HttpRequest request = ValidRequest();
   request.m_method = "POST";
   request.m_target = "/catalogue/order";
   const std::string id = NewRequestId("reserved");
   request.m_headers.Set("x-request-id", id);
   request.m_headers.Set("X-Foxtail-Workspace", "somebody-else");
   request.m_headers.Set("x-foxtail-epoch", "99");
-  const HttpResponse response = Raw(request);
+  const HttpResponse response = SendRaw(request);
   ASSERT_EQ(response.m_status, 200) << response.m_body;
   EXPECT_EQ(ParseJson(response.m_body)["workspace"].asString(), "club-1");
 }
 
 TEST_F(PathTest, MetricsHaveSeriesPerWorkspaceAndServer) {
-  ASSERT_EQ(Raw(Valid()).m_status, 200);
+  ASSERT_EQ(SendRaw(ValidRequest()).m_status, 200);
   std::string text;
   for (uint32_t host = 0; host < 3; ++host) {
     HttpRequest request;
--- a/tests/soak/soak_checks.cc
+++ b/tests/soak/soak_checks.cc
@@ -11,16 +11,16 @@
 
 // A withdrawn API key must not work for longer than this (the platform's
 // `revoke_s` in all deployments).
-constexpr std::chrono::seconds kWithdrawalBound{5};
+constexpr std::chrono::seconds kMaxWithdrawalDelay{5};
 
-bool PromisesNotRun(int status) {
+bool StatesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 // A key's runs in order of time carry tokens in order: otherwise a server ran
 // it under an older right than another had already used.
-void CheckOwners(const std::vector<SoakRun>& runs,
-                 std::vector<std::string>& broken) {
+void CheckExclusiveOwnership(const std::vector<SoakRun>& runs,
+                             std::vector<std::string>& violations) {
   std::map<int, const SoakRun*> newest;
   for (const SoakRun& run : runs) {
     if (run.m_key < 0) {
@@ -29,36 +29,37 @@
     const SoakRun*& last = newest[run.m_key];
     if (last && last->m_server != run.m_server &&
         last->m_fence >= run.m_fence) {
-      broken.push_back("two owners of key " + std::to_string(run.m_key) + ": " +
-                       last->m_server + " under " +
-                       std::to_string(last->m_fence) + ", then " +
-                       run.m_server + " under " + std::to_string(run.m_fence));
+      violations.push_back(
+          "two owners of key " + std::to_string(run.m_key) + ": " +
+          last->m_server + " under " + std::to_string(last->m_fence) +
+          ", then " + run.m_server + " under " + std::to_string(run.m_fence));
     }
     last = &run;
   }
 }
 
-void CheckRequest(const SoakOutcome& outcome,
+void CheckRequest(const SoakExchange& exchange,
                   const std::vector<const SoakRun*>& runs,
                   const std::vector<SoakWithdrawal>& withdrawals,
-                  std::vector<std::string>& broken) {
+                  std::vector<std::string>& violations) {
   const std::string name =
-      outcome.m_request + " (" + std::to_string(outcome.m_status) + ")";
-  if (!outcome.m_idempotent && runs.size() > 1) {
-    broken.push_back("ran twice: " + name);
+      exchange.m_request + " (" + std::to_string(exchange.m_status) + ")";
+  if (!exchange.m_idempotent && runs.size() > 1) {
+    violations.push_back("ran twice: " + name);
   }
-  if (!outcome.m_idempotent && PromisesNotRun(outcome.m_status) &&
+  if (!exchange.m_idempotent && StatesNotRun(exchange.m_status) &&
       !runs.empty()) {
-    broken.push_back("ran though it was refused: " + name);
+    violations.push_back("ran though it was refused: " + name);
   }
-  if (outcome.m_status == 200 &&
-      (runs.empty() || outcome.m_body != "ran " + outcome.m_request)) {
-    broken.push_back("not the server's answer: " + name);
+  if (exchange.m_status == 200 &&
+      (runs.empty() || exchange.m_body != "ran " + exchange.m_request)) {
+    violations.push_back("not the server's answer: " + name);
   }
   for (const SoakWithdrawal& withdrawal : withdrawals) {
-    if (!runs.empty() && withdrawal.m_api_key == outcome.m_api_key &&
-        outcome.m_sent > withdrawal.m_at + kWithdrawalBound) {
-      broken.push_back("ran with a withdrawn API key: " + name);
+    if (!runs.empty() && withdrawal.m_api_key == exchange.m_api_key &&
+        exchange.m_sent_at >
+            withdrawal.m_acknowledged_at + kMaxWithdrawalDelay) {
+      violations.push_back("ran with a withdrawn API key: " + name);
     }
   }
 }
@@ -77,8 +78,8 @@
       // A line that a kill cut short belongs to a run that did not begin.
       if (fields >> at >> run.m_server >> run.m_request >> run.m_key >>
           run.m_fence >> api_key >> run.m_workspace) {
-        run.m_at = TimePoint(Duration(at));
-        run.m_saw_api_key = api_key != "-";
+        run.m_started_at = TimePoint(Duration(at));
+        run.m_received_api_key = api_key != "-";
         runs.push_back(std::move(run));
       }
     }
@@ -86,31 +87,33 @@
   return runs;
 }
 
-std::vector<std::string> FindBrokenPromises(
+std::vector<std::string> FindViolations(
     std::vector<SoakRun> runs,
-    const std::vector<SoakOutcome>& outcomes,
+    const std::vector<SoakExchange>& exchanges,
     const std::vector<SoakWithdrawal>& withdrawals) {
-  std::ranges::stable_sort(runs, {}, &SoakRun::m_at);
-  std::vector<std::string> broken;
-  CheckOwners(runs, broken);
+  std::ranges::stable_sort(runs, {}, &SoakRun::m_started_at);
+  std::vector<std::string> violations;
+  CheckExclusiveOwnership(runs, violations);
   std::map<std::string, std::vector<const SoakRun*>> by_request;
   for (const SoakRun& run : runs) {
     by_request[run.m_request].push_back(&run);
-    if (run.m_saw_api_key || run.m_workspace != "w") {
-      broken.push_back("API key or workspace at a server: " + run.m_request);
+    if (run.m_received_api_key || run.m_workspace != "w") {
+      violations.push_back("API key or workspace at a server: " +
+                           run.m_request);
     }
   }
   std::map<std::string, bool> sent;
-  for (const SoakOutcome& outcome : outcomes) {
-    sent[outcome.m_request] = true;
-    CheckRequest(outcome, by_request[outcome.m_request], withdrawals, broken);
+  for (const SoakExchange& exchange : exchanges) {
+    sent[exchange.m_request] = true;
+    CheckRequest(exchange, by_request[exchange.m_request], withdrawals,
+                 violations);
   }
   for (const auto& [request, request_runs] : by_request) {
     if (!request_runs.empty() && !sent[request]) {
-      broken.push_back("nobody sent " + request);
+      violations.push_back("nobody sent " + request);
     }
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace foxtail
--- a/tests/soak/soak_clients.cc
+++ b/tests/soak/soak_clients.cc
@@ -11,15 +11,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kPause{12};
-constexpr milliseconds kDeadline{900};
-constexpr seconds kPatience{2};
+constexpr milliseconds kRequestInterval{12};
+constexpr milliseconds kRequestDeadline{900};
+constexpr seconds kResponseTimeout{2};
 
 // Few keys, so that many requests meet the same owners.
 constexpr uint32_t kKeyStep = 811;
 
 // A client changes its gateway after about this many requests.
-constexpr uint32_t kStay = 15;
+constexpr uint32_t kRequestsPerGateway = 15;
 
 struct RouteKind {
   const char* m_path;
@@ -40,28 +40,28 @@
 
 void SoakClients::Start() {
   for (size_t client = 0; client < m_clients; ++client) {
-    ++m_running;
+    ++m_running_clients;
     StartFiber([this, client] {
       Run(client);
-      --m_running;
+      --m_running_clients;
     });
   }
 }
 
 void SoakClients::Stop() {
   m_stopping = true;
-  while (m_running > 0) {
-    boost::this_fiber::sleep_for(kPause);
+  while (m_running_clients > 0) {
+    boost::this_fiber::sleep_for(kRequestInterval);
   }
 }
 
-double SoakClients::ServedPart(size_t count) const {
-  if (m_outcomes.size() < count) {
+double SoakClients::ServedFraction(size_t count) const {
+  if (m_exchanges.size() < count) {
     return 0;
   }
   size_t served = 0;
-  for (size_t i = m_outcomes.size() - count; i < m_outcomes.size(); ++i) {
-    served += m_outcomes[i].m_status == 200 ? 1 : 0;
+  for (size_t i = m_exchanges.size() - count; i < m_exchanges.size(); ++i) {
+    served += m_exchanges[i].m_status == 200 ? 1 : 0;
   }
   return static_cast<double>(served) / static_cast<double>(count);
 }
@@ -71,7 +71,7 @@
   HttpClient http;
   while (!m_stopping) {
     SendOne(client, random, http);
-    boost::this_fiber::sleep_for(kPause);
+    boost::this_fiber::sleep_for(kRequestInterval);
   }
 }
 
@@ -80,35 +80,37 @@
                           HttpClient& http) {
   const RouteKind& route = kRoutes[random() % kRoutes.size()];
   const size_t gateways = m_world.GetSettings().m_gateways;
-  const size_t gateway = (client + m_next / kStay) % gateways;
-  SoakOutcome outcome;
-  outcome.m_request = "r" + std::to_string(++m_next);
-  outcome.m_idempotent = route.m_idempotent;
-  outcome.m_api_key = m_world.ApiKey();
+  const size_t gateway =
+      (client + m_last_request_number / kRequestsPerGateway) % gateways;
+  SoakExchange exchange;
+  exchange.m_request = "r" + std::to_string(++m_last_request_number);
+  exchange.m_idempotent = route.m_idempotent;
+  exchange.m_api_key = m_world.CurrentApiKey();
   // Some keep a withdrawn key.
   if (!m_world.GetWithdrawals().empty() && random() % 8 == 0) {
-    outcome.m_api_key = m_world.GetWithdrawals().back().m_api_key;
+    exchange.m_api_key = m_world.GetWithdrawals().back().m_api_key;
   }
   HttpRequest request;
   request.m_method = route.m_idempotent ? "GET" : "POST";
   request.m_target = route.m_path;
   request.m_headers.Set("Host", "a.example");
-  request.m_headers.Set("X-Foxtailcart-Request-Id", outcome.m_request);
+  request.m_headers.Set("X-Foxtailcart-Request-Id", exchange.m_request);
   request.m_headers.Set("X-Foxtailcart-Request-Deadline",
-                        std::to_string(kDeadline.count()));
-  request.m_headers.Set("X-Foxtailcart-Credential", outcome.m_api_key);
+                        std::to_string(kRequestDeadline.count()));
+  request.m_headers.Set("X-Foxtailcart-Credential", exchange.m_api_key);
   if (route.m_sharded) {
     request.m_headers.Set("X-Foxtailcart-Shard-Key",
                           std::to_string(random() % 80 * kKeyStep));
   }
-  outcome.m_sent = Clock::now();
-  const ExchangeResult result = http.Exchange(
-      m_world.GatewayAddress(gateway), request, Clock::now() + kPatience);
+  exchange.m_sent_at = Clock::now();
+  const ExchangeResult result =
+      http.Exchange(m_world.GatewayAddress(gateway), request,
+                    Clock::now() + kResponseTimeout);
   if (result.m_ok) {
-    outcome.m_status = result.m_response.m_status;
-    outcome.m_body = result.m_response.m_body;
+    exchange.m_status = result.m_response.m_status;
+    exchange.m_body = result.m_response.m_body;
   }
-  m_outcomes.push_back(std::move(outcome));
+  m_exchanges.push_back(std::move(exchange));
 }
 
 }  // namespace foxtail
--- a/tests/soak/soak_clients.h
+++ b/tests/soak/soak_clients.h
@@ -22,10 +22,10 @@
   /// Ends them and waits for their last answers.
   void Stop();
 
-  const std::vector<SoakOutcome>& GetOutcomes() const { return m_outcomes; }
+  const std::vector<SoakExchange>& GetExchanges() const { return m_exchanges; }
 
   /// Returns the part of the newest `count` requests that were served.
-  double ServedPart(size_t count) const;
+  double ServedFraction(size_t count) const;
 
  private:
   void Run(size_t client);
@@ -33,10 +33,10 @@
 
   const SoakWorld& m_world;
   size_t m_clients;
-  size_t m_running = 0;
+  size_t m_running_clients = 0;
   bool m_stopping = false;
-  uint64_t m_next = 0;
-  std::vector<SoakOutcome> m_outcomes;
+  uint64_t m_last_request_number = 0;
+  std::vector<SoakExchange> m_exchanges;
 };
 
 }  // namespace foxtail
--- a/tests/soak/soak_server.cc
+++ b/tests/soak/soak_server.cc
@@ -13,7 +13,7 @@
 
 constexpr uint32_t kSlots = 4;
 constexpr uint32_t kQueue = 12;
-constexpr milliseconds kWork{15};
+constexpr milliseconds kServiceTime{15};
 
 // A release is answered when what runs has ended.
 constexpr milliseconds kReleasePoll{5};
@@ -22,7 +22,7 @@
   return request.m_headers.GetOr("X-Foxtailcart-" + name, "");
 }
 
-std::pair<uint32_t, uint32_t> KeysOf(const Json::Value& body) {
+std::pair<uint32_t, uint32_t> KeyRangeOf(const Json::Value& body) {
   return {body["from"].asUInt(), body["target"].asUInt()};
 }
 
@@ -33,38 +33,39 @@
 
 HttpResponse SoakServer::Handle(HttpRequest& request) {
   if (request.m_target == "/grant") {
-    return Grant(request);
+    return HandleGrant(request);
   }
-  return request.m_target == "/release" ? Release(request) : Run(request);
+  return request.m_target == "/release" ? HandleRelease(request)
+                                        : RunRequest(request);
 }
 
-HttpResponse SoakServer::Grant(const HttpRequest& request) {
+HttpResponse SoakServer::HandleGrant(const HttpRequest& request) {
   const Json::Value body = ParseJson(request.m_body);
-  const auto [first, last] = KeysOf(body);
+  const auto [first, last] = KeyRangeOf(body);
   const uint64_t fence = body["fence"].asUInt64();
   HttpResponse response;
   for (uint32_t key = first; key <= last; ++key) {
-    if (m_holds.at(key).m_highest_fence > fence) {
+    if (m_key_grants.at(key).m_highest_fence > fence) {
       response.m_status = 409;
       return response;
     }
   }
   const Duration hold = FromSeconds(body["hold_s"].asDouble());
   for (uint32_t key = first; key <= last; ++key) {
-    m_holds[key].m_fence = fence;
-    m_holds[key].m_highest_fence = fence;
-    m_holds[key].m_until = Clock::now() + hold;
+    m_key_grants[key].m_fence = fence;
+    m_key_grants[key].m_highest_fence = fence;
+    m_key_grants[key].m_valid_until = Clock::now() + hold;
   }
   return response;
 }
 
-HttpResponse SoakServer::Release(const HttpRequest& request) {
-  const auto [first, last] = KeysOf(ParseJson(request.m_body));
+HttpResponse SoakServer::HandleRelease(const HttpRequest& request) {
+  const auto [first, last] = KeyRangeOf(ParseJson(request.m_body));
   for (uint32_t key = first; key <= last; ++key) {
-    m_holds.at(key).m_until = TimePoint();
+    m_key_grants.at(key).m_valid_until = TimePoint();
   }
   for (uint32_t key = first; key <= last; ++key) {
-    while (m_holds[key].m_running > 0) {
+    while (m_key_grants[key].m_running_requests > 0) {
       boost::this_fiber::sleep_for(kReleasePoll);
     }
   }
@@ -73,14 +74,14 @@
   return response;
 }
 
-HttpResponse SoakServer::NotRun(int status) const {
+HttpResponse SoakServer::NotRunResponse(int status) const {
   HttpResponse response;
   response.m_status = status;
   response.m_headers.Set("X-Foxtailcart-Not-Executed", "1");
   return response;
 }
 
-HttpResponse SoakServer::Run(const HttpRequest& request) {
+HttpResponse SoakServer::RunRequest(const HttpRequest& request) {
   const std::string key_text = FieldOf(request, "Shard-Key");
   const bool sharded = !key_text.empty();
   const uint32_t key = sharded ? std::stoul(key_text) : 0;
@@ -88,25 +89,25 @@
       Clock::now() +
       milliseconds(std::stol(FieldOf(request, "Request-Deadline")));
   if (FieldOf(request, "Target-Instance") != m_id) {
-    return NotRun(421);
+    return NotRunResponse(421);
   }
-  if (m_running + m_waiting >= kSlots + kQueue) {
-    return NotRun(503);
+  if (m_running_requests + m_waiting_requests >= kSlots + kQueue) {
+    return NotRunResponse(503);
   }
-  ++m_waiting;
-  while (m_running >= kSlots && Clock::now() < deadline) {
-    m_ended.WaitUntil(deadline);
+  ++m_waiting_requests;
+  while (m_running_requests >= kSlots && Clock::now() < deadline) {
+    m_request_ended.WaitUntil(deadline);
   }
-  --m_waiting;
-  if (m_running >= kSlots) {
-    return NotRun(503);
+  --m_waiting_requests;
+  if (m_running_requests >= kSlots) {
+    return NotRunResponse(503);
   }
-  Hold& hold = m_holds.at(key);
-  if (sharded && Clock::now() >= hold.m_until) {
-    return NotRun(421);
+  KeyGrant& hold = m_key_grants.at(key);
+  if (sharded && Clock::now() >= hold.m_valid_until) {
+    return NotRunResponse(421);
   }
-  ++m_running;
-  ++hold.m_running;
+  ++m_running_requests;
+  ++hold.m_running_requests;
   const std::string id = FieldOf(request, "Request-Id");
   // Written out before the work begins: a kill must not hide a run.
   m_record << Clock::now().time_since_epoch().count() << ' ' << m_id << ' '
@@ -114,16 +115,16 @@
            << hold.m_fence << ' '
            << (FieldOf(request, "Credential").empty() ? "-" : "key") << ' '
            << FieldOf(request, "Tenant") << std::endl;
-  boost::this_fiber::sleep_for(kWork);
-  --m_running;
-  --hold.m_running;
-  m_ended.Notify();
+  boost::this_fiber::sleep_for(kServiceTime);
+  --m_running_requests;
+  --hold.m_running_requests;
+  m_request_ended.Notify();
   HttpResponse response;
   response.m_headers.Set("X-Foxtailcart-Request-Id", id);
   response.m_headers.Set("X-Foxtailcart-Response-Stamp", m_id);
   response.m_headers.Set("X-Foxtailcart-Server-Load",
-                         std::to_string(m_running) + "," +
-                             std::to_string(m_waiting) + "," +
+                         std::to_string(m_running_requests) + "," +
+                             std::to_string(m_waiting_requests) + "," +
                              std::to_string(kSlots));
   response.m_body = "ran " + id;
   return response;
--- a/tests/soak/soak_server.h
+++ b/tests/soak/soak_server.h
@@ -21,24 +21,24 @@
   HttpResponse Handle(HttpRequest& request);
 
  private:
-  struct Hold {
+  struct KeyGrant {
     uint64_t m_fence = 0;
     uint64_t m_highest_fence = 0;
-    TimePoint m_until;
-    uint32_t m_running = 0;
+    TimePoint m_valid_until;
+    uint32_t m_running_requests = 0;
   };
 
-  HttpResponse Grant(const HttpRequest& request);
-  HttpResponse Release(const HttpRequest& request);
-  HttpResponse Run(const HttpRequest& request);
-  HttpResponse NotRun(int status) const;
+  HttpResponse HandleGrant(const HttpRequest& request);
+  HttpResponse HandleRelease(const HttpRequest& request);
+  HttpResponse RunRequest(const HttpRequest& request);
+  HttpResponse NotRunResponse(int status) const;
 
   std::string m_id;
   std::ofstream m_record;
-  std::array<Hold, 65536> m_holds{};
-  FiberEvent m_ended;
-  uint32_t m_running = 0;
-  uint32_t m_waiting = 0;
+  std::array<KeyGrant, 65536> m_key_grants{};
+  FiberEvent m_request_ended;
+  uint32_t m_running_requests = 0;
+  uint32_t m_waiting_requests = 0;
 };
 
 }  // namespace foxtail
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -13,21 +13,21 @@
 using std::chrono::seconds;
 
 constexpr size_t kClients = 10;
-constexpr seconds kCalmStart{15};
+constexpr seconds kStartTimeout{15};
 
 // Pause between two faults: several overlap at most times.
-constexpr milliseconds kShortestPause{50};
-constexpr int kPauseSpread = 500;  // milliseconds
+constexpr milliseconds kMinFaultInterval{50};
+constexpr int kFaultIntervalSpread = 500;  // milliseconds
 
 // The platform's `recover_s`: after this, service is back.
-constexpr seconds kRecoverBound{15};
+constexpr seconds kRecoveryTimeout{15};
 
 // Requests over which service is judged, and the part that must be served: some
 // clients send an API key that was withdrawn, one in eight.
-constexpr size_t kJudged = 100;
-constexpr double kServedPart = 0.75;
+constexpr size_t kServedSampleSize = 100;
+constexpr double kMinServedFraction = 0.75;
 
-uint32_t NumberFrom(const char* variable, uint32_t fallback) {
+uint32_t NumberFromEnvironment(const char* variable, uint32_t fallback) {
   const char* text = std::getenv(variable);
   return text ? static_cast<uint32_t>(std::stoul(text)) : fallback;
 }
@@ -35,9 +35,9 @@
 bool AwaitService(const SoakClients& clients, SoakWorld& world, Duration time) {
   const TimePoint until = Clock::now() + time;
   while (Clock::now() < until) {
-    world.HealDue();
+    world.HealDueFaults();
     boost::this_fiber::sleep_for(milliseconds(50));
-    if (clients.ServedPart(kJudged) >= kServedPart) {
+    if (clients.ServedFraction(kServedSampleSize) >= kMinServedFraction) {
       return true;
     }
   }
@@ -47,33 +47,33 @@
 /// FOXTAIL_SOAK_FIRST and _COUNT choose the seeds, _SECONDS the time of faults.
 class SoakTest : public testing::TestWithParam<uint32_t> {};
 
-TEST_P(SoakTest, PromisesHoldUnderRandomFaults) {
+TEST_P(SoakTest, GuaranteesHoldUnderRandomFaults) {
   SoakSettings settings;
   settings.m_seed = GetParam();
   SoakWorld world(settings);
   SoakClients clients(world, kClients);
   clients.Start();
-  EXPECT_TRUE(AwaitService(clients, world, kCalmStart));
+  EXPECT_TRUE(AwaitService(clients, world, kStartTimeout));
   std::minstd_rand random(GetParam());
   const TimePoint until =
-      Clock::now() + seconds(NumberFrom("FOXTAIL_SOAK_SECONDS", 12));
+      Clock::now() + seconds(NumberFromEnvironment("FOXTAIL_SOAK_SECONDS", 12));
   while (Clock::now() < until) {
     world.InjectFault();
-    boost::this_fiber::sleep_for(kShortestPause +
-                                 milliseconds(random() % kPauseSpread));
-    world.HealDue();
+    boost::this_fiber::sleep_for(kMinFaultInterval +
+                                 milliseconds(random() % kFaultIntervalSpread));
+    world.HealDueFaults();
   }
   world.HealAll();
-  EXPECT_TRUE(AwaitService(clients, world, kRecoverBound))
-      << "served " << clients.ServedPart(kJudged);
+  EXPECT_TRUE(AwaitService(clients, world, kRecoveryTimeout))
+      << "served " << clients.ServedFraction(kServedSampleSize);
   clients.Stop();
-  for (const std::string& broken :
-       FindBrokenPromises(ReadSoakRuns(world.RecordFolder()),
-                          clients.GetOutcomes(), world.GetWithdrawals())) {
-    ADD_FAILURE() << broken;
+  for (const std::string& violations :
+       FindViolations(ReadSoakRuns(world.RecordFolder()),
+                      clients.GetExchanges(), world.GetWithdrawals())) {
+    ADD_FAILURE() << violations;
   }
-  for (const std::string& bad_stop : world.GetBadStops()) {
-    ADD_FAILURE() << bad_stop;
+  for (const std::string& process_failure : world.GetProcessFailures()) {
+    ADD_FAILURE() << process_failure;
   }
   if (HasFailure()) {
     std::cout << "folder " << world.Folder() << "\n" << world.GetHistory();
@@ -84,12 +84,12 @@
 // start ended a gateway.
 INSTANTIATE_TEST_SUITE_P(Regressions, SoakTest, testing::Values(22));
 
-INSTANTIATE_TEST_SUITE_P(Seeds,
-                         SoakTest,
-                         testing::Range(NumberFrom("FOXTAIL_SOAK_FIRST", 2),
-                                        NumberFrom("FOXTAIL_SOAK_FIRST", 2) +
-                                            NumberFrom("FOXTAIL_SOAK_COUNT",
-                                                       1)));
+INSTANTIATE_TEST_SUITE_P(
+    Seeds,
+    SoakTest,
+    testing::Range(NumberFromEnvironment("FOXTAIL_SOAK_FIRST", 2),
+                   NumberFromEnvironment("FOXTAIL_SOAK_FIRST", 2) +
+                       NumberFromEnvironment("FOXTAIL_SOAK_COUNT", 1)));
 
 }  // namespace
 }  // namespace foxtail
--- a/tests/soak/soak_world.cc
+++ b/tests/soak/soak_world.cc
@@ -18,14 +18,14 @@
 using std::chrono::seconds;
 
 // The platform kills a process that has not ended by then (`grace_s`).
-constexpr seconds kStopBound{6};
+constexpr seconds kStopTimeout{6};
 
-constexpr milliseconds kShortestFault{200};
-constexpr int kFaultSpread = 2500;  // milliseconds
-constexpr milliseconds kWriteRetry{20};
+constexpr milliseconds kMinFaultDuration{200};
+constexpr int kFaultDurationSpread = 2500;  // milliseconds
+constexpr milliseconds kWriteRetryDelay{20};
 
 // A process that ends this soon after its start may not have begun yet.
-constexpr seconds kStartTime{1};
+constexpr seconds kMinUptime{1};
 
 Address Local(uint16_t port) {
   return {"127.0.0.1", port};
@@ -49,14 +49,14 @@
       {"hang up gateway", &SoakWorld::HangUpGateway, false},
       {"cut store link", &SoakWorld::CutStoreLink, false},
       {"freeze store link", &SoakWorld::FreezeStoreLink, false},
-      {"lose store answers", &SoakWorld::LoseStoreAnswers, false},
+      {"lose store answers", &SoakWorld::LoseStoreResponses, false},
       {"slow store link", &SoakWorld::SlowStoreLink, false},
       {"store outage", &SoakWorld::StoreOutage, false},
       {"kill server", &SoakWorld::KillServer, true},
       {"pause server", &SoakWorld::PauseServer, true},
       {"cut server link", &SoakWorld::CutServerLink, true},
       {"freeze server link", &SoakWorld::FreezeServerLink, true},
-      {"lose server answers", &SoakWorld::LoseServerAnswers, true},
+      {"lose server answers", &SoakWorld::LoseServerResponses, true},
       {"drain server", &SoakWorld::DrainServer, true},
       {"change configuration", &SoakWorld::ChangeConfiguration, false},
       {"withdraw API key", &SoakWorld::WithdrawApiKey, false},
@@ -129,7 +129,7 @@
   return Local(m_gateways[gateway].m_client_port);
 }
 
-size_t SoakWorld::Below(size_t limit) {
+size_t SoakWorld::RandomBelow(size_t limit) {
   return m_random() % limit;
 }
 
@@ -138,7 +138,7 @@
   row.m_process = std::make_unique<Process>(
       "foxtail-gateway", row.m_arguments,
       fmt::format("{}/gateway-{}.log", m_folder, gateway));
-  row.m_disturbed = false;
+  row.m_was_paused = false;
   row.m_stopping = false;
   row.m_killed = false;
   row.m_started = Clock::now();
@@ -146,14 +146,15 @@
 
 // As the platform does. A hang-up signal that arrives before the program has
 // begun ends it, which no program can prevent.
-void SoakWorld::StartEnded() {
+void SoakWorld::RestartEndedGateways() {
   for (size_t i = 0; i < m_gateways.size(); ++i) {
     const Gateway& row = m_gateways[i];
     if (row.m_killed || row.m_stopping || row.m_process->IsRunning()) {
       continue;
     }
-    if (Clock::now() - row.m_started > kStartTime) {
-      m_bad_stops.push_back(fmt::format("gateway {} ended by itself", i));
+    if (Clock::now() - row.m_started > kMinUptime) {
+      m_process_failures.push_back(
+          fmt::format("gateway {} ended by itself", i));
     }
     StartGateway(i);
   }
@@ -161,12 +162,12 @@
 
 void SoakWorld::StartServer(size_t server) {
   Server& row = m_servers[server];
-  ++row.m_born;
+  ++row.m_incarnation;
   row.m_process = std::make_unique<Process>(
       "soak-server",
       std::vector<std::string>{
           Local(row.m_port).ToString(), ServerId(server),
-          fmt::format("{}/{}-{}", RecordFolder(), server, row.m_born)},
+          fmt::format("{}/{}-{}", RecordFolder(), server, row.m_incarnation)},
       fmt::format("{}/server-{}.log", m_folder, server));
   RegisterServer(server);
 }
@@ -174,11 +175,12 @@
 void SoakWorld::RegisterServer(size_t server) {
   const Server& row = m_servers[server];
   const bool sharded = server + 2 < m_servers.size();
-  Put("servers", ServerId(server),
+  WriteStoreRow(
+      "servers", ServerId(server),
       fmt::format(R"({{"address":"{}","born":{},"info":{{"service":"{}",)"
                   R"("zone":"{}","slots":4}},"status":{{"state":"{}",)"
                   R"("warmup_left_s":0}}}})",
-                  Local(row.m_link_port).ToString(), row.m_born,
+                  Local(row.m_link_port).ToString(), row.m_incarnation,
                   sharded ? "keyed" : "open", DataCentre(server),
                   row.m_draining ? "draining" : "ready"));
 }
@@ -196,7 +198,8 @@
         R"("priority":1,"service":"{2}","max_attempts":2}})",
         name, type, service);
   };
-  Put("op", "config",
+  WriteStoreRow(
+      "op", "config",
       fmt::format(
           R"({{"version":"{:08x}","routes":[{},{},{}],"services":[)"
           R"({{"name":"keyed","max_conns":120,"sharded":true}},)"
@@ -208,9 +211,9 @@
 }
 
 // The operators' way to the store is not disturbed.
-void SoakWorld::Put(const std::string& table,
-                    const std::string& key,
-                    const std::optional<std::string>& value) {
+void SoakWorld::WriteStoreRow(const std::string& table,
+                              const std::string& key,
+                              const std::optional<std::string>& value) {
   while (true) {
     const RowsResult row = m_store.Read(table, key, seconds(1));
     const uint64_t version =
@@ -221,7 +224,7 @@
              StoreOutcome::kDone)) {
       return;
     }
-    boost::this_fiber::sleep_for(kWriteRetry);
+    boost::this_fiber::sleep_for(kWriteRetryDelay);
   }
 }
 
@@ -236,12 +239,12 @@
 
 void SoakWorld::HealLater(Duration time,
                           std::function<void()> heal,
-                          bool fixed) {
-  m_healings.push_back({Clock::now() + time, std::move(heal), fixed});
+                          bool fixed_time) {
+  m_healings.push_back({Clock::now() + time, std::move(heal), fixed_time});
 }
 
-void SoakWorld::HealDue() {
-  StartEnded();
+void SoakWorld::HealDueFaults() {
+  RestartEndedGateways();
   for (size_t i = 0; i < m_healings.size();) {
     if (Clock::now() < m_healings[i].m_at) {
       ++i;
@@ -255,16 +258,17 @@
 
 void SoakWorld::HealAll() {
   for (Healing& healing : m_healings) {
-    healing.m_at = healing.m_fixed ? healing.m_at : TimePoint();
+    healing.m_at = healing.m_fixed_time ? healing.m_at : TimePoint();
   }
-  HealDue();
+  HealDueFaults();
 }
 
 void SoakWorld::InjectFault() {
-  const FaultKind& kind = FaultKinds()[Below(FaultKinds().size())];
+  const FaultKind& kind = FaultKinds()[RandomBelow(FaultKinds().size())];
   const size_t subject =
-      Below(kind.m_on_server ? m_servers.size() : m_gateways.size());
-  const Duration time = kShortestFault + milliseconds(Below(kFaultSpread));
+      RandomBelow(kind.m_on_server ? m_servers.size() : m_gateways.size());
+  const Duration time =
+      kMinFaultDuration + milliseconds(RandomBelow(kFaultDurationSpread));
   m_history += fmt::format("{} {} for {} ms\n", kind.m_name, subject,
                            ToSeconds(time) * 1000);
   (this->*kind.m_inject)(subject, time);
@@ -284,7 +288,7 @@
   if (m_gateways[gateway].m_stopping) {
     return;
   }
-  m_gateways[gateway].m_disturbed = true;
+  m_gateways[gateway].m_was_paused = true;
   m_gateways[gateway].m_process->Signal(SIGSTOP);
   HealLater(time, [this, gateway] {
     m_gateways[gateway].m_process->Signal(SIGCONT);
@@ -293,7 +297,7 @@
 
 void SoakWorld::StopGateway(size_t gateway, Duration time) {
   Gateway& row = m_gateways[gateway];
-  if (!row.m_process->IsRunning() || row.m_disturbed || row.m_stopping) {
+  if (!row.m_process->IsRunning() || row.m_was_paused || row.m_stopping) {
     return;
   }
   row.m_stopping = true;
@@ -301,14 +305,15 @@
   const auto restart = [this, gateway] {
     Gateway& stopped = m_gateways[gateway];
     if (stopped.m_stopping && stopped.m_process->IsRunning()) {
-      m_bad_stops.push_back(fmt::format("gateway {} did not end", gateway));
+      m_process_failures.push_back(
+          fmt::format("gateway {} did not end", gateway));
       stopped.m_process->Kill();
     }
     if (!stopped.m_process->IsRunning()) {
       StartGateway(gateway);
     }
   };
-  HealLater(std::max<Duration>(time, kStopBound), restart, true);
+  HealLater(std::max<Duration>(time, kStopTimeout), restart, true);
 }
 
 void SoakWorld::HangUpGateway(size_t gateway, Duration) {
@@ -325,7 +330,7 @@
   HealLater(time, [this, gateway] { SetLink(gateway, "none"); });
 }
 
-void SoakWorld::LoseStoreAnswers(size_t gateway, Duration time) {
+void SoakWorld::LoseStoreResponses(size_t gateway, Duration time) {
   SetLink(gateway, "lose_answers");
   HealLater(time, [this, gateway] { SetLink(gateway, "none"); });
 }
@@ -368,7 +373,7 @@
   HealLater(time, [this, link] { SetLink(link, "none"); });
 }
 
-void SoakWorld::LoseServerAnswers(size_t server, Duration time) {
+void SoakWorld::LoseServerResponses(size_t server, Duration time) {
   const size_t link = m_gateways.size() + server;
   SetLink(link, "lose_answers");
   HealLater(time, [this, link] { SetLink(link, "none"); });
@@ -400,8 +405,8 @@
 
 void SoakWorld::Evacuate(size_t server, Duration time) {
   const std::string row = "evacuate/" + DataCentre(server);
-  Put("op", row, "{}");
-  HealLater(time, [this, row] { Put("op", row, std::nullopt); });
+  WriteStoreRow("op", row, "{}");
+  HealLater(time, [this, row] { WriteStoreRow("op", row, std::nullopt); });
 }
 
 }  // namespace foxtail
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -36,7 +36,7 @@
   void InjectFault();
 
   /// Heals what is due.
-  void HealDue();
+  void HealDueFaults();
 
   /// Heals everything and starts what is down; planned stops go on.
   void HealAll();
@@ -50,13 +50,15 @@
   }
 
   /// Planned stops that took too long, and processes that ended by themselves.
-  const std::vector<std::string>& GetBadStops() const { return m_bad_stops; }
+  const std::vector<std::string>& GetProcessFailures() const {
+    return m_process_failures;
+  }
 
   /// What was injected, for the log of a failed seed.
   const std::string& GetHistory() const { return m_history; }
 
   /// Returns an API key that is valid now.
-  std::string ApiKey() const { return m_api_keys.back(); }
+  std::string CurrentApiKey() const { return m_api_keys.back(); }
 
  private:
   using Fault = void (SoakWorld::*)(size_t subject, Duration time);
@@ -72,7 +74,7 @@
     std::function<void()> m_heal;
 
     /// A planned stop has its time, whatever else is healed.
-    bool m_fixed = false;
+    bool m_fixed_time = false;
   };
 
   struct Gateway {
@@ -81,7 +83,7 @@
     std::vector<std::string> m_arguments;
 
     /// Paused since its start, so that a stop may take longer.
-    bool m_disturbed = false;
+    bool m_was_paused = false;
     bool m_stopping = false;
 
     /// Killed by the soak, which starts it again.
@@ -93,21 +95,23 @@
     std::unique_ptr<Process> m_process;
     uint16_t m_port = 0;
     uint16_t m_link_port = 0;
-    int64_t m_born = 1;
+    int64_t m_incarnation = 1;
     bool m_draining = false;
   };
 
   void StartGateway(size_t gateway);
-  void StartEnded();
+  void RestartEndedGateways();
   void StartServer(size_t server);
   void RegisterServer(size_t server);
   void WriteConfiguration();
-  void Put(const std::string& table,
-           const std::string& key,
-           const std::optional<std::string>& value);
+  void WriteStoreRow(const std::string& table,
+                     const std::string& key,
+                     const std::optional<std::string>& value);
   void SetLink(size_t link, const std::string& fault, int delay_ms = 0);
-  void HealLater(Duration time, std::function<void()> heal, bool fixed = false);
-  size_t Below(size_t limit);
+  void HealLater(Duration time,
+                 std::function<void()> heal,
+                 bool fixed_time = false);
+  size_t RandomBelow(size_t limit);
 
   void KillGateway(size_t gateway, Duration time);
   void PauseGateway(size_t gateway, Duration time);
@@ -115,14 +119,14 @@
   void HangUpGateway(size_t gateway, Duration time);
   void CutStoreLink(size_t gateway, Duration time);
   void FreezeStoreLink(size_t gateway, Duration time);
-  void LoseStoreAnswers(size_t gateway, Duration time);
+  void LoseStoreResponses(size_t gateway, Duration time);
   void SlowStoreLink(size_t gateway, Duration time);
   void StoreOutage(size_t gateway, Duration time);
   void KillServer(size_t server, Duration time);
   void PauseServer(size_t server, Duration time);
   void CutServerLink(size_t server, Duration time);
   void FreezeServerLink(size_t server, Duration time);
-  void LoseServerAnswers(size_t server, Duration time);
+  void LoseServerResponses(size_t server, Duration time);
   void DrainServer(size_t server, Duration time);
   void ChangeConfiguration(size_t gateway, Duration time);
   void WithdrawApiKey(size_t gateway, Duration time);
@@ -145,7 +149,7 @@
   uint64_t m_version = 0;
   std::vector<std::string> m_api_keys = {"key-0"};
   std::vector<SoakWithdrawal> m_withdrawals;
-  std::vector<std::string> m_bad_stops;
+  std::vector<std::string> m_process_failures;
   std::string m_history;
 };
 
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -23,13 +23,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr const char* kSecret = "test-cluster-secret";
-constexpr milliseconds kPoll{10};
+constexpr const char* kClusterSecret = "test-cluster-secret";
+constexpr milliseconds kPollInterval{10};
 constexpr uint16_t kFirstPort = 20000;
 constexpr uint16_t kPortCount = 10000;
-constexpr uint16_t kSlicePorts = 1000;
+constexpr uint16_t kPortsPerRange = 1000;
 
-bool IsFree(uint16_t port, int type) {
+bool IsPortFree(uint16_t port, int type) {
   const int fd = socket(AF_INET, type, 0);
   sockaddr_in address = {};
   address.sin_family = AF_INET;
@@ -41,22 +41,22 @@
   return free;
 }
 
-// Takes the ports of one slice for the life of this process: a port that is
+// Takes the ports of one range for the life of this process: a port that is
 // free only while its process is being restarted must not go to another test.
-// With more test processes than slices, they share.
-uint32_t TakePortSlice() {
-  const uint32_t slices = kPortCount / kSlicePorts;
-  for (uint32_t slice = 0; slice < slices; ++slice) {
+// With more test processes than ranges, they share.
+uint32_t ReservePortRange() {
+  const uint32_t ranges = kPortCount / kPortsPerRange;
+  for (uint32_t range = 0; range < ranges; ++range) {
     const std::string lock = (std::filesystem::temp_directory_path() /
-                              ("foxtail-ports-" + std::to_string(slice)))
+                              ("foxtail-ports-" + std::to_string(range)))
                                  .string();
     const int fd = open(lock.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0666);
     if (fd >= 0 && flock(fd, LOCK_EX | LOCK_NB) == 0) {
-      return kFirstPort + slice * kSlicePorts;
+      return kFirstPort + range * kPortsPerRange;
     }
     close(fd);
   }
-  return kFirstPort + getpid() % slices * kSlicePorts;
+  return kFirstPort + getpid() % ranges * kPortsPerRange;
 }
 
 std::string Local(uint16_t port) {
@@ -70,15 +70,15 @@
   return text.str();
 }
 
-Json::Value RoutesOf() {
+Json::Value RoutesJson() {
   Json::Value routes(Json::arrayValue);
-  for (const auto& [method, path, repeatable] :
+  for (const auto& [method, path, idempotent] :
        {std::tuple("GET", "/read", true), std::tuple("POST", "/read", true),
         std::tuple("POST", "/order", false)}) {
     Json::Value route;
     route["method"] = method;
     route["path"] = path;
-    route["repeatable"] = repeatable;
+    route["repeatable"] = idempotent;
     routes.append(route);
   }
   return routes;
@@ -88,11 +88,11 @@
 
 // Ports below the range from which outgoing connections take theirs.
 uint16_t NextPort() {
-  static const uint32_t first = TakePortSlice();
+  static const uint32_t first = ReservePortRange();
   static uint32_t next = 0;
   while (true) {
-    const auto port = static_cast<uint16_t>(first + (next++ % kSlicePorts));
-    if (IsFree(port, SOCK_STREAM) && IsFree(port, SOCK_DGRAM)) {
+    const auto port = static_cast<uint16_t>(first + (next++ % kPortsPerRange));
+    if (IsPortFree(port, SOCK_STREAM) && IsPortFree(port, SOCK_DGRAM)) {
       return port;
     }
   }
@@ -144,20 +144,20 @@
     row["checks_fence"] = service.m_checks_fence;
     row["max_deadline_ms"] =
         static_cast<Json::UInt>(service.m_max_deadline.count());
-    row["routes"] = RoutesOf();
+    row["routes"] = RoutesJson();
     for (uint32_t i = 0; i < service.m_servers; ++i) {
       const std::string name = service.m_name + "-" + std::to_string(i + 1);
-      BackendPlace place{
+      BackendEndpoint endpoint{
           NextPort(), service,
           m_settings.m_data_centres[i % m_settings.m_data_centres.size()]};
       Json::Value server;
       server["name"] = name;
-      server["address"] = Local(place.m_port);
-      server["data_centre"] = place.m_data_centre;
+      server["address"] = Local(endpoint.m_port);
+      server["data_centre"] = endpoint.m_data_centre;
       server["slots"] = service.m_slots;
       server["queue"] = service.m_queue;
       row["servers"].append(server);
-      m_places.emplace(name, std::move(place));
+      m_backend_endpoints.emplace(name, std::move(endpoint));
     }
     m_document["services"].append(row);
   }
@@ -178,7 +178,7 @@
   }
 }
 
-std::string Cluster::ControlList() const {
+std::string Cluster::ControlAddressList() const {
   std::string list;
   for (const uint16_t port : m_control_ports) {
     list += (list.empty() ? "" : ",") + Local(port);
@@ -218,30 +218,31 @@
   m_client.Call({"127.0.0.1", m_proxy_port}, request, std::chrono::seconds(5));
 }
 
-void Cluster::CutPlatformLink(uint32_t host, const std::string& fault) {
+void Cluster::SetPlatformLinkFault(uint32_t host, const std::string& fault) {
   SetLink(host, fault);
 }
 
-void Cluster::CutEntryLinks(uint32_t host, const std::string& fault) {
+void Cluster::SetEntryLinkFaults(uint32_t host, const std::string& fault) {
   for (uint32_t j = 0; j < m_settings.m_hosts; ++j) {
     SetLink(m_settings.m_hosts * (host + 1) + j, fault);
   }
 }
 
 void Cluster::StartControl(uint32_t host) {
-  const uint16_t platform =
-      m_settings.m_links ? m_platform_link_ports[host] : m_platform_port;
+  const uint16_t platform = m_settings.m_with_fault_proxy
+                                ? m_platform_link_ports[host]
+                                : m_platform_port;
   std::vector<std::string> arguments = {
       "--listen",
       Local(m_control_ports[host]),
       "--peers",
-      ControlList(),
+      ControlAddressList(),
       "--platform",
       Local(platform),
       "--data-centre",
       DataCentreOf(host),
       "--cluster-secret",
-      kSecret,
+      kClusterSecret,
       "--log-file",
       m_folder + "/control-" + std::to_string(host) + ".events"};
   arguments.insert(arguments.end(), m_settings.m_control_flags.begin(),
@@ -252,8 +253,8 @@
 }
 
 void Cluster::StartEntry(uint32_t host) {
-  std::string controls = ControlList();
-  if (m_settings.m_links) {
+  std::string controls = ControlAddressList();
+  if (m_settings.m_with_fault_proxy) {
     controls.clear();
     for (const uint16_t port : m_entry_link_ports[host]) {
       controls += (controls.empty() ? "" : ",") + Local(port);
@@ -269,7 +270,7 @@
       "--data-centre",
       DataCentreOf(host),
       "--cluster-secret",
-      kSecret,
+      kClusterSecret,
       "--stop-delay",
       "100",
       "--log-file",
@@ -282,12 +283,12 @@
 }
 
 void Cluster::StartBackend(const std::string& name) {
-  const BackendPlace& place = m_places.at(name);
-  const TestService& service = place.m_service;
+  const BackendEndpoint& endpoint = m_backend_endpoints.at(name);
+  const TestService& service = endpoint.m_service;
   m_backends[name] = std::make_unique<Process>(
       "standin-backend",
       std::vector<std::string>{
-          "--listen", Local(place.m_port), "--name", name, "--record-file",
+          "--listen", Local(endpoint.m_port), "--name", name, "--record-file",
           m_folder + "/" + name + ".record", "--slots",
           std::to_string(service.m_slots), "--checks-fence",
           service.m_checks_fence ? "1" : "0", "--service-time",
@@ -301,17 +302,17 @@
       "standin-platform",
       std::vector<std::string>{"--listen", Local(m_platform_port)},
       m_folder + "/platform.out");
-  if (m_settings.m_links) {
+  if (m_settings.m_with_fault_proxy) {
     StartProxy();
   }
-  for (const auto& [name, place] : m_places) {
+  for (const auto& [name, endpoint] : m_backend_endpoints) {
     StartBackend(name);
   }
   for (uint32_t i = 0; i < m_settings.m_hosts; ++i) {
     StartControl(i);
     StartEntry(i);
   }
-  const bool answers = Eventually([&] {
+  const bool responses = Eventually([&] {
     try {
       Rpc("history", Json::Value(Json::objectValue));
       return true;
@@ -319,7 +320,7 @@
       return false;
     }
   });
-  if (!answers) {
+  if (!responses) {
     throw std::runtime_error("the cluster does not start: " + ReadLogs());
   }
   Json::Value parameters;
@@ -331,7 +332,7 @@
   const bool served = Eventually([&] {
     return std::ranges::all_of(
         m_settings.m_services,
-        [&](const TestService& service) { return IsSettled(service.m_name); });
+        [&](const TestService& service) { return IsStable(service.m_name); });
   });
   if (!served) {
     throw std::runtime_error("partitions are not served: " + ReadLogs());
@@ -351,7 +352,8 @@
 Json::Value Cluster::RpcAt(uint32_t host,
                            const std::string& method,
                            const Json::Value& parameters) {
-  const ControlRpcClient client(m_client, kSecret, std::chrono::seconds(5));
+  const ControlRpcClient client(m_client, kClusterSecret,
+                                std::chrono::seconds(5));
   return client.Call(Local(m_control_ports.at(host)), method, parameters);
 }
 
@@ -370,7 +372,8 @@
   return RpcAt(m_settings.m_hosts - 1, method, parameters);
 }
 
-std::string Cluster::Propose(const std::map<std::string, std::string>& change) {
+std::string Cluster::ProposeChange(
+    const std::map<std::string, std::string>& change) {
   Json::Value parameters;
   for (const auto& [name, value] : change) {
     parameters[name] = value;
@@ -378,9 +381,10 @@
   return Rpc("change", parameters)["plan"].asString();
 }
 
-uint64_t Cluster::Change(const std::map<std::string, std::string>& change) {
+uint64_t Cluster::ConfirmChange(
+    const std::map<std::string, std::string>& change) {
   Json::Value parameters;
-  parameters["plan"] = Propose(change);
+  parameters["plan"] = ProposeChange(change);
   return Rpc("confirm", parameters)["version"].asUInt64();
 }
 
@@ -416,7 +420,7 @@
   return {};
 }
 
-bool Cluster::IsSettled(const std::string& service) {
+bool Cluster::IsStable(const std::string& service) {
   const Json::Value status = StatusOf(service);
   if (status.isNull() || status["partitions"].empty()) {
     return false;
@@ -447,7 +451,7 @@
   return -1;
 }
 
-void Cluster::SetPlatform(const std::string& what, int value) {
+void Cluster::SetPlatformFault(const std::string& what, int value) {
   HttpRequest request;
   request.m_method = "POST";
   request.m_target = "/faults";
@@ -458,7 +462,8 @@
                 std::chrono::seconds(5));
 }
 
-Json::Value Cluster::Backend(const std::string& name, const std::string& body) {
+Json::Value Cluster::CallBackend(const std::string& name,
+                                 const std::string& body) {
   HttpRequest request;
   request.m_method = body.empty() ? "GET" : "POST";
   request.m_target = "/standin";
@@ -481,12 +486,12 @@
 }
 
 Address Cluster::BackendAddress(const std::string& name) const {
-  return {"127.0.0.1", m_places.at(name).m_port};
+  return {"127.0.0.1", m_backend_endpoints.at(name).m_port};
 }
 
 std::vector<RunRecord> Cluster::ReadRecords() const {
   std::vector<RunRecord> records;
-  for (const auto& [name, place] : m_places) {
+  for (const auto& [name, endpoint] : m_backend_endpoints) {
     std::ifstream file(m_folder + "/" + name + ".record");
     for (std::string line; std::getline(file, line);) {
       Json::Value value;
@@ -495,7 +500,7 @@
       }
       RunRecord record;
       record.m_server = value["server"].asString();
-      record.m_what = value["what"].asString();
+      record.m_event = value["what"].asString();
       record.m_time_us = value["time_us"].asInt64();
       record.m_request = value["request"].asString();
       record.m_workspace = value["workspace"].asString();
@@ -518,7 +523,7 @@
   return text;
 }
 
-bool Cluster::ChecksTimes() {
+bool Cluster::EnforcesTimeLimits() {
   return std::getenv("FOXTAIL_TIMED") != nullptr;
 }
 
@@ -529,7 +534,7 @@
     if (Clock::now() >= until) {
       return false;
     }
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
   }
   return true;
 }
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -48,7 +48,7 @@
   std::vector<TestWorkspace> m_workspaces = {TestWorkspace()};
 
   /// Whether faulty links stand between the processes.
-  bool m_links = false;
+  bool m_with_fault_proxy = false;
   std::vector<std::string> m_entry_flags;
   std::vector<std::string> m_control_flags;
 };
@@ -56,7 +56,7 @@
 /// One line of a backend stand-in's own record.
 struct RunRecord {
   std::string m_server;
-  std::string m_what;
+  std::string m_event;
   int64_t m_time_us = 0;
   std::string m_request;
   std::string m_workspace;
@@ -78,12 +78,12 @@
   void Start();
 
   /// Makes a plan that changes one thing and confirms it; returns the version.
-  uint64_t Change(const std::map<std::string, std::string>& change);
+  uint64_t ConfirmChange(const std::map<std::string, std::string>& change);
 
   /// Makes a plan without confirming it; returns its id.
-  std::string Propose(const std::map<std::string, std::string>& change);
+  std::string ProposeChange(const std::map<std::string, std::string>& change);
 
-  /// Calls a method at the first control process that answers.
+  /// Calls a method at the first control process that responses.
   Json::Value Rpc(const std::string& method, const Json::Value& parameters);
 
   /// Calls a method at one host's control process.
@@ -99,22 +99,23 @@
 
   /// Returns whether all partitions of a service are settled on servers that
   /// are up.
-  bool IsSettled(const std::string& service);
+  bool IsStable(const std::string& service);
 
   /// Returns the host whose entry dispatches to a server, or -1.
   int DispatcherHostOf(const std::string& service, const std::string& server);
 
   /// Sets a failure of the platform: "down", "delay_ms", "lose_answers".
-  void SetPlatform(const std::string& what, int value);
+  void SetPlatformFault(const std::string& what, int value);
 
   /// Sets a fault on the link from a host's control to the platform.
-  void CutPlatformLink(uint32_t host, const std::string& fault);
+  void SetPlatformLinkFault(uint32_t host, const std::string& fault);
 
   /// Sets a fault on the links from a host's entry to all control processes.
-  void CutEntryLinks(uint32_t host, const std::string& fault);
+  void SetEntryLinkFaults(uint32_t host, const std::string& fault);
 
   /// Talks to a backend stand-in: GET without a body, else POST.
-  Json::Value Backend(const std::string& name, const std::string& body = "");
+  Json::Value CallBackend(const std::string& name,
+                          const std::string& body = "");
 
   /// Starts or starts again the processes of a host or server.
   void StartControl(uint32_t host);
@@ -144,13 +145,13 @@
 
   /// Returns whether times are checked too. They are on a quiet machine, with
   /// the variable FOXTAIL_TIMED=1; a shared one may stop for seconds.
-  static bool ChecksTimes();
+  static bool EnforcesTimeLimits();
 
   const std::string& GetFolder() const { return m_folder; }
   const Json::Value& GetDocument() const { return m_document; }
 
  private:
-  struct BackendPlace {
+  struct BackendEndpoint {
     uint16_t m_port = 0;
     TestService m_service;
     std::string m_data_centre;
@@ -158,7 +159,7 @@
 
   void BuildDocument();
   void StartProxy();
-  std::string ControlList() const;
+  std::string ControlAddressList() const;
   std::string DataCentreOf(uint32_t host) const;
   void SetLink(size_t link, const std::string& fault);
 
@@ -173,7 +174,7 @@
   std::vector<uint16_t> m_control_ports;
   std::vector<uint16_t> m_platform_link_ports;
   std::vector<std::vector<uint16_t>> m_entry_link_ports;
-  std::map<std::string, BackendPlace> m_places;
+  std::map<std::string, BackendEndpoint> m_backend_endpoints;
   std::unique_ptr<Process> m_platform;
   std::unique_ptr<Process> m_proxy;
   std::map<uint32_t, std::unique_ptr<Process>> m_controls;
--- a/tests/support/fake_world.cc
+++ b/tests/support/fake_world.cc
@@ -7,12 +7,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kStep{10};
-constexpr milliseconds kLongest{10'000};
+constexpr milliseconds kStepDuration{10};
+constexpr milliseconds kMaxRunTime{10'000};
 
 }  // namespace
 
-Configuration OneService() {
+Configuration OneServiceConfiguration() {
   Configuration configuration;
   configuration.m_data_centres = {{"dc-0"}, {"dc-1"}};
   ServiceConfig service;
@@ -52,8 +52,8 @@
     return {RowOutcome::kMismatch, version, {}};
   }
   m_rows[key] = {RowOutcome::kDone, ++m_last_version, value};
-  if (m_lose_next_answer) {
-    m_lose_next_answer = false;
+  if (m_lose_next_response) {
+    m_lose_next_response = false;
     return {};
   }
   return {RowOutcome::kDone, m_last_version, {}};
@@ -99,7 +99,8 @@
 }
 
 bool FakeWorld::RunUntil(const std::function<bool()>& condition) {
-  for (const TimePoint end = m_now.m_steady + kLongest; m_now.m_steady < end;) {
+  for (const TimePoint end = m_now.m_steady + kMaxRunTime;
+       m_now.m_steady < end;) {
     if (condition()) {
       return true;
     }
@@ -109,7 +110,7 @@
 }
 
 bool FakeWorld::RunUntilHolder(const std::string& cell) {
-  return RunUntil([&] { return HolderOf(cell) != kNobody; });
+  return RunUntil([&] { return HolderOf(cell) != kNoNode; });
 }
 
 size_t FakeWorld::HolderOf(const std::string& cell) const {
@@ -121,10 +122,10 @@
       return i;
     }
   }
-  return kNobody;
+  return kNoNode;
 }
 
-void FakeWorld::CountHolders() {
+void FakeWorld::UpdateMaxHolders() {
   std::map<std::string, size_t> holders;
   for (const FakeNode& node : m_nodes) {
     node.m_tables.m_cells.ForEach([&](auto, const CellRow& cell) {
@@ -132,24 +133,24 @@
     });
   }
   for (const auto& [cell, count] : holders) {
-    m_most_holders = std::max(m_most_holders, count);
+    m_max_holders = std::max(m_max_holders, count);
   }
 }
 
 void FakeWorld::Step() {
-  m_now.m_steady += kStep;
-  m_now.m_wall += kStep;
+  m_now.m_steady += kStepDuration;
+  m_now.m_wall += kStepDuration;
   for (FakeNode& node : m_nodes) {
-    if (!node.m_stopped) {
+    if (!node.m_paused) {
       RunNode(node);
     }
   }
-  CountHolders();
+  UpdateMaxHolders();
 }
 
 void FakeWorld::RunNode(FakeNode& node) {
   for (const FakeNode& other : m_nodes) {
-    if (!other.m_stopped) {
+    if (!other.m_paused) {
       node.m_inbox.m_peers.push_back(
           {other.m_tables.m_self, other.m_tables.m_data_centre});
     }
@@ -158,10 +159,10 @@
   std::swap(inbox, node.m_inbox);
   ControlOutbox outbox;
   node.m_tick->Run(node.m_tables, inbox, outbox, m_now);
-  CarryOut(node, outbox);
+  ExecuteCommands(node, outbox);
 }
 
-void FakeWorld::CarryOut(FakeNode& node, ControlOutbox& outbox) {
+void FakeWorld::ExecuteCommands(FakeNode& node, ControlOutbox& outbox) {
   for (const ReadRow& read : outbox.m_reads) {
     node.m_inbox.m_rows.push_back({read.m_purpose, read.m_cell, false,
                                    m_store.Read(read.m_key), m_now.m_steady});
@@ -173,13 +174,13 @@
          m_now.m_steady});
   }
   for (const AskPromise& ask : outbox.m_promises) {
-    AskPromiseOf(node, ask);
+    RequestPromise(node, ask);
   }
   for (const GivePromise& answer : outbox.m_promise_answers) {
-    const auto found = m_promises.find(answer.m_handle);
-    if (found != m_promises.end()) {
+    const auto found = m_pending_promises.find(answer.m_handle);
+    if (found != m_pending_promises.end()) {
       found->second(answer.m_given);
-      m_promises.erase(found);
+      m_pending_promises.erase(found);
     }
   }
   for (const SendGrant& grant : outbox.m_grants) {
@@ -190,28 +191,29 @@
     node.m_inbox.m_probes.push_back({probe.m_server, true, "run"});
   }
   for (const AnswerTokens& answer : outbox.m_tokens) {
-    m_tokens[answer.m_handle] = answer.m_response;
+    m_token_responses[answer.m_handle] = answer.m_response;
   }
 }
 
-void FakeWorld::AskPromiseOf(FakeNode& node, const AskPromise& ask) {
+void FakeWorld::RequestPromise(FakeNode& node, const AskPromise& ask) {
   for (FakeNode& other : m_nodes) {
-    if (other.m_tables.m_self != ask.m_standby || other.m_stopped) {
+    if (other.m_tables.m_self != ask.m_standby || other.m_paused) {
       continue;
     }
     const uint64_t handle = ++m_last_handle;
     other.m_inbox.m_promises_asked.push_back(
         {handle, ask.m_cell_name, node.m_tables.m_self, ask.m_epoch});
-    m_promises[handle] = [&node, ask, sent = m_now.m_steady](bool given) {
+    m_pending_promises[handle] = [&node, ask,
+                                  sent = m_now.m_steady](bool given) {
       node.m_inbox.m_promises.push_back(
           {ask.m_cell, ask.m_standby, ask.m_epoch, given, sent});
     };
   }
 }
 
-double FakeWorld::AskTokens(size_t node,
-                            const std::string& workspace,
-                            double wanted) {
+double FakeWorld::RequestTokens(size_t node,
+                                const std::string& workspace,
+                                double wanted) {
   const uint64_t handle = ++m_last_handle;
   TokenRequest request;
   request.m_dispatcher = {"entry-" + std::to_string(handle), "run"};
@@ -219,7 +221,7 @@
   m_nodes.at(node).m_inbox.m_tokens.push_back(
       {handle, request, m_now.m_steady});
   RunNode(m_nodes.at(node));
-  const TokenResponse& response = m_tokens[handle];
+  const TokenResponse& response = m_token_responses[handle];
   return response.m_grants.empty() ? 0 : response.m_grants[0].m_tokens;
 }
 
--- a/tests/support/fake_world.h
+++ b/tests/support/fake_world.h
@@ -13,7 +13,7 @@
 
 /// A configuration with one service "catalogue" of four servers, "server-0" to
 /// "server-3", in "dc-0" and "dc-1".
-Configuration OneService();
+Configuration OneServiceConfiguration();
 
 /// Fake of the platform's tables: in memory, at once, and unreliable on demand.
 class FakeStore : public PlatformStore {
@@ -27,7 +27,7 @@
   bool m_down = false;
 
   /// The next write takes effect and is not answered.
-  bool m_lose_next_answer = false;
+  bool m_lose_next_response = false;
 
  private:
   std::map<RowKey, RowResult> m_rows;
@@ -41,13 +41,13 @@
   std::unique_ptr<ControlTick> m_tick;
 
   /// The process is paused.
-  bool m_stopped = false;
+  bool m_paused = false;
 };
 
 /// Several fake control processes around a fake store, on a hand-written clock.
 class FakeWorld {
  public:
-  static constexpr size_t kNobody = SIZE_MAX;
+  static constexpr size_t kNoNode = SIZE_MAX;
 
   explicit FakeWorld(size_t nodes);
 
@@ -68,7 +68,9 @@
   size_t HolderOf(const std::string& cell) const;
 
   /// Asks a node for tokens as a new dispatcher; returns how many it gives.
-  double AskTokens(size_t node, const std::string& workspace, double wanted);
+  double RequestTokens(size_t node,
+                       const std::string& workspace,
+                       double wanted);
 
   TimePoint Now() const { return m_now.m_steady; }
 
@@ -76,19 +78,19 @@
   std::vector<FakeNode> m_nodes;
 
   /// Most nodes that ever had authority over one cell at once.
-  size_t m_most_holders = 0;
+  size_t m_max_holders = 0;
 
  private:
   void Step();
   void RunNode(FakeNode& node);
-  void CarryOut(FakeNode& node, ControlOutbox& outbox);
-  void AskPromiseOf(FakeNode& node, const AskPromise& ask);
-  void CountHolders();
+  void ExecuteCommands(FakeNode& node, ControlOutbox& outbox);
+  void RequestPromise(FakeNode& node, const AskPromise& ask);
+  void UpdateMaxHolders();
 
   struct Now m_now;
   uint64_t m_last_handle = 0;
-  std::map<uint64_t, TokenResponse> m_tokens;
-  std::map<uint64_t, std::function<void(bool)>> m_promises;
+  std::map<uint64_t, TokenResponse> m_token_responses;
+  std::map<uint64_t, std::function<void(bool)>> m_pending_promises;
 };
 
 }  // namespace foxtail
--- a/tests/support/load.cc
+++ b/tests/support/load_generator.cc
@@ -1,4 +1,4 @@
-#include "support/load.h"
+#include "support/load_generator.h"
 
 #include <algorithm>
 #include <boost/fiber/operations.hpp>
@@ -13,14 +13,14 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCallerTimeout{5000};
+constexpr milliseconds kClientTimeout{5000};
 constexpr int kStatusOk = 200;
 
 HttpRequest BuildRequest(const TestRequest& request) {
   HttpRequest http;
-  http.m_method = request.m_repeatable ? "GET" : "POST";
+  http.m_method = request.m_idempotent ? "GET" : "POST";
   http.m_target =
-      "/" + request.m_service + (request.m_repeatable ? "/read" : "/order");
+      "/" + request.m_service + (request.m_idempotent ? "/read" : "/order");
   if (!request.m_body.empty()) {
     http.m_method = "POST";
   }
@@ -39,58 +39,58 @@
 
 }  // namespace
 
-TestAnswer SendRequest(Cluster& cluster,
-                       HttpClient& client,
-                       const TestRequest& request) {
-  TestAnswer answer;
-  answer.m_request = request;
-  answer.m_sent = Clock::now();
-  ExchangeResult result =
-      client.Exchange(cluster.EntryAddress(request.m_host),
-                      BuildRequest(request), answer.m_sent + kCallerTimeout);
-  answer.m_answered = Clock::now();
+TestResponse SendRequest(Cluster& cluster,
+                         HttpClient& client,
+                         const TestRequest& request) {
+  TestResponse response;
+  response.m_request = request;
+  response.m_sent_at = Clock::now();
+  ExchangeResult result = client.Exchange(cluster.EntryAddress(request.m_host),
+                                          BuildRequest(request),
+                                          response.m_sent_at + kClientTimeout);
+  response.m_received_at = Clock::now();
   if (!result.m_ok) {
     const bool sent = result.m_progress != ExchangeProgress::kNothingSent;
-    answer.m_execution =
+    response.m_execution =
         NameOf(sent ? Execution::kUnknown : Execution::kNotRun);
-    return answer;
+    return response;
   }
-  answer.m_status = result.m_response.m_status;
-  answer.m_execution = result.m_response.m_headers.GetOr("x-execution", "");
-  answer.m_body = std::move(result.m_response.m_body);
-  if (answer.m_request.m_id.empty()) {
-    answer.m_request.m_id =
+  response.m_status = result.m_response.m_status;
+  response.m_execution = result.m_response.m_headers.GetOr("x-execution", "");
+  response.m_body = std::move(result.m_response.m_body);
+  if (response.m_request.m_id.empty()) {
+    response.m_request.m_id =
         result.m_response.m_headers.GetOr("x-request-id", "");
   }
   Json::Value body;
-  if (TryParseJson(answer.m_body, body) && body.isObject()) {
-    answer.m_error = body["error"].asString();
+  if (TryParseJson(response.m_body, body) && body.isObject()) {
+    response.m_error = body["error"].asString();
   }
-  return answer;
+  return response;
 }
 
 std::string NewRequestId(const std::string& name) {
   return std::to_string(WallNow().time_since_epoch().count()) + "-" + name;
 }
 
-Load::Load(Cluster& cluster, const LoadSettings& settings)
+LoadGenerator::LoadGenerator(Cluster& cluster, const LoadSettings& settings)
     : m_cluster(cluster), m_settings(settings) {}
 
-Load::~Load() {
+LoadGenerator::~LoadGenerator() {
   Stop();
 }
 
-void Load::Start() {
+void LoadGenerator::Start() {
   for (uint32_t i = 0; i < m_settings.m_fibers; ++i) {
     StartFiber([this, i] { RunFiber(i); });
   }
 }
 
-void Load::Avoid(uint32_t host) {
+void LoadGenerator::StopSendingTo(uint32_t host) {
   std::erase(m_settings.m_hosts, host);
 }
 
-void Load::RunFiber(uint32_t index) {
+void LoadGenerator::RunFiber(uint32_t index) {
   ++m_running;
   std::mt19937_64 random(m_settings.m_seed * 1000 + index);
   uint32_t sent = 0;
@@ -102,35 +102,36 @@
     request.m_workspace =
         m_settings.m_workspaces[random() % m_settings.m_workspaces.size()];
     request.m_key = "key-" + std::to_string(random() % m_settings.m_keys);
-    request.m_repeatable = random() % 100 >= m_settings.m_orders;
+    request.m_idempotent =
+        random() % 100 >= m_settings.m_non_idempotent_percent;
     request.m_id =
         NewRequestId(std::to_string(index) + "-" + std::to_string(++sent));
-    m_answers.push_back(SendRequest(m_cluster, m_client, request));
-    boost::this_fiber::sleep_for(m_settings.m_pause);
+    m_responses.push_back(SendRequest(m_cluster, m_client, request));
+    boost::this_fiber::sleep_for(m_settings.m_request_interval);
   }
   --m_running;
 }
 
-void Load::Stop() {
+void LoadGenerator::Stop() {
   m_stopping = true;
   while (m_running > 0) {
     boost::this_fiber::sleep_for(milliseconds(5));
   }
 }
 
-size_t Load::CountStatus(int status) const {
+size_t LoadGenerator::CountStatus(int status) const {
   return static_cast<size_t>(
-      std::ranges::count(m_answers, status, &TestAnswer::m_status));
+      std::ranges::count(m_responses, status, &TestResponse::m_status));
 }
 
-std::string Load::DescribeFailures() const {
+std::string LoadGenerator::DescribeFailures() const {
   std::map<std::string, int> kinds;
-  for (const TestAnswer& answer : m_answers) {
-    if (answer.m_status != kStatusOk) {
-      ++kinds["host " + std::to_string(answer.m_request.m_host) + " " +
-              std::to_string(answer.m_status) + " " + answer.m_error + " " +
-              answer.m_execution +
-              (answer.m_request.m_repeatable ? " read" : " order")];
+  for (const TestResponse& response : m_responses) {
+    if (response.m_status != kStatusOk) {
+      ++kinds["host " + std::to_string(response.m_request.m_host) + " " +
+              std::to_string(response.m_status) + " " + response.m_error + " " +
+              response.m_execution +
+              (response.m_request.m_idempotent ? " read" : " order")];
     }
   }
   std::string text;
@@ -142,7 +143,7 @@
 
 // A run without an effect is none: its server was killed, or it gave the
 // request up because its grant or the deadline was over.
-std::string FindTwoOwners(const std::vector<RunRecord>& records) {
+std::string FindConcurrentOwners(const std::vector<RunRecord>& records) {
   struct Run {
     std::string m_server;
     uint64_t m_epoch = 0;
@@ -153,10 +154,10 @@
   for (const RunRecord& record : records) {
     const auto key =
         std::tuple(record.m_server, record.m_service, record.m_request);
-    if (record.m_what == "begin") {
+    if (record.m_event == "begin") {
       begins[key] = record.m_time_us;
     }
-    if (record.m_what != "effect") {
+    if (record.m_event != "effect") {
       continue;
     }
     auto& earlier = runs[{record.m_service, record.m_partition}];
@@ -174,23 +175,23 @@
   return "";
 }
 
-std::string FindFalseAnswer(const std::vector<RunRecord>& records,
-                            const std::vector<TestAnswer>& answers) {
+std::string FindFalseResponse(const std::vector<RunRecord>& records,
+                              const std::vector<TestResponse>& responses) {
   std::map<std::string, size_t> effects;
   for (const RunRecord& record : records) {
-    effects[record.m_request] += record.m_what == "effect";
+    effects[record.m_request] += record.m_event == "effect";
   }
   std::map<std::string, size_t> not_run_only;
-  for (const TestAnswer& answer : answers) {
-    const std::string& id = answer.m_request.m_id;
+  for (const TestResponse& response : responses) {
+    const std::string& id = response.m_request.m_id;
     const size_t ran = effects[id];
-    if (!answer.m_request.m_repeatable && ran > 1) {
+    if (!response.m_request.m_idempotent && ran > 1) {
       return "ran " + std::to_string(ran) + " times: " + id;
     }
-    if (answer.m_execution == "not_run" && ran > 0) {
-      return "told not run, but it ran: " + id + " " + answer.m_error;
+    if (response.m_execution == "not_run" && ran > 0) {
+      return "told not run, but it ran: " + id + " " + response.m_error;
     }
-    if (answer.m_status == kStatusOk && !answer.m_request.m_repeatable &&
+    if (response.m_status == kStatusOk && !response.m_request.m_idempotent &&
         ran != 1) {
       return "told that it ran, but it did not: " + id;
     }
@@ -198,45 +199,45 @@
   return "";
 }
 
-std::string FindMismatch(const std::vector<TestAnswer>& answers) {
-  for (const TestAnswer& answer : answers) {
+std::string FindMismatchedResponse(const std::vector<TestResponse>& responses) {
+  for (const TestResponse& response : responses) {
     Json::Value body;
-    if (answer.m_status != kStatusOk) {
+    if (response.m_status != kStatusOk) {
       continue;
     }
-    if (!TryParseJson(answer.m_body, body) ||
-        body["key"].asString() != answer.m_request.m_key ||
-        body["workspace"].asString() != answer.m_request.m_workspace ||
-        body["echo"].asString() != answer.m_request.m_body) {
-      return answer.m_request.m_id + " got " + answer.m_body;
+    if (!TryParseJson(response.m_body, body) ||
+        body["key"].asString() != response.m_request.m_key ||
+        body["workspace"].asString() != response.m_request.m_workspace ||
+        body["echo"].asString() != response.m_request.m_body) {
+      return response.m_request.m_id + " got " + response.m_body;
     }
-    if (!answer.m_request.m_repeatable &&
-        body["request"].asString() != answer.m_request.m_id) {
-      return answer.m_request.m_id + " got " + answer.m_body;
+    if (!response.m_request.m_idempotent &&
+        body["request"].asString() != response.m_request.m_id) {
+      return response.m_request.m_id + " got " + response.m_body;
     }
   }
   return "";
 }
 
-Duration LongestGap(const std::vector<TestAnswer>& answers) {
-  std::map<std::string, std::vector<const TestAnswer*>> by_key;
-  for (const TestAnswer& answer : answers) {
-    const TestRequest& request = answer.m_request;
-    by_key[request.m_service + "/" + request.m_key].push_back(&answer);
+Duration LongestKeyOutage(const std::vector<TestResponse>& responses) {
+  std::map<std::string, std::vector<const TestResponse*>> by_key;
+  for (const TestResponse& response : responses) {
+    const TestRequest& request = response.m_request;
+    by_key[request.m_service + "/" + request.m_key].push_back(&response);
   }
   Duration longest{0};
   for (auto& [key, all] : by_key) {
-    std::ranges::sort(all, {}, &TestAnswer::m_answered);
+    std::ranges::sort(all, {}, &TestResponse::m_received_at);
     TimePoint down_since = TimePoint::max();
-    for (const TestAnswer* answer : all) {
-      down_since = std::min(down_since, answer->m_sent);
-      if (answer->m_status == kStatusOk) {
-        longest = std::max(longest, answer->m_answered - down_since);
+    for (const TestResponse* response : all) {
+      down_since = std::min(down_since, response->m_sent_at);
+      if (response->m_status == kStatusOk) {
+        longest = std::max(longest, response->m_received_at - down_since);
         down_since = TimePoint::max();
       }
     }
     if (down_since != TimePoint::max()) {
-      longest = std::max(longest, all.back()->m_answered - down_since);
+      longest = std::max(longest, all.back()->m_received_at - down_since);
     }
   }
   return longest;
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -69,7 +69,7 @@
     // Other fibers of the test go on meanwhile.
     boost::this_fiber::sleep_for(std::chrono::milliseconds(2));
   }
-  return m_exit;
+  return m_exit_code;
 }
 
 Process::Usage Process::ReadUsage() const {
@@ -100,7 +100,7 @@
     return true;
   }
   m_pid = -1;
-  m_exit = ExitCodeOf(status);
+  m_exit_code = ExitCodeOf(status);
   return false;
 }
 
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -46,7 +46,7 @@
 
  private:
   pid_t m_pid = -1;
-  int m_exit = -1;
+  int m_exit_code = -1;
 };
 
 }  // namespace foxtail
