--- a/benchmarks/control/control_tick_benchmark.cc
+++ b/benchmarks/control/control_tick_benchmark.cc
@@ -8,8 +8,8 @@
 namespace foxtail {
 namespace {
 
-// Tables of a held cell with settled partitions, 4 per server, and dispatchers
-// that report.
+// Builds the tables of a held cell with stable partitions, 4 per server, and
+// reporting dispatchers.
 ControlTables BuildTables(uint32_t partitions, uint32_t dispatchers) {
   ControlTables tables;
   const TimePoint now = Clock::now();
@@ -81,7 +81,8 @@
 }
 BENCHMARK(MeasureIdleTick)->Arg(100)->Arg(400)->Arg(1600)->Arg(6400);
 
-// One report of one dispatcher in a cell with many dispatchers.
+// Measures a tick with one report of one dispatcher, in a cell with many
+// dispatchers.
 void MeasureSyncTick(benchmark::State& state) {
   ControlTables tables =
       BuildTables(400, static_cast<uint32_t>(state.range(0)));
@@ -100,7 +101,8 @@
 }
 BENCHMARK(MeasureSyncTick)->Arg(10)->Arg(45)->Arg(180);
 
-// Bytes of the routes of a cell, as a dispatcher receives them.
+// Measures the encoding and size of a cell's routes, as a dispatcher receives
+// them.
 void MeasureEncodeRoutes(benchmark::State& state) {
   ControlTables tables = BuildTables(static_cast<uint32_t>(state.range(0)), 10);
   ControlTick tick(std::make_unique<BoundedLoadPlacement>(1.1));
@@ -117,7 +119,7 @@
 }
 BENCHMARK(MeasureEncodeRoutes)->Arg(100)->Arg(400)->Arg(1600)->Arg(6400);
 
-// Bytes of a report and of an answer without news.
+// Measures the encoding and size of a report and of a response without changes.
 void MeasureEncodeQuietSync(benchmark::State& state) {
   SyncRequest request;
   request.m_cell = "catalogue";
--- a/benchmarks/measure.cc
+++ b/benchmarks/measure.cc
@@ -1,6 +1,5 @@
-// RunMeasures the brief's figures with real processes and stand-ins on
-// loopback. LoadGenerator, seeds and run times are fixed; each scenario prints
-// one table.
+// Measures the required figures with real processes and stand-ins on loopback.
+// Load, seeds and run times are fixed; each scenario prints one table.
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -29,7 +28,7 @@
   return ToSeconds(duration) * 1000;
 }
 
-// Latencies of successful responses in milliseconds, sorted.
+// Returns the latencies of successful responses in milliseconds, sorted.
 std::vector<double> Latencies(const std::vector<TestResponse>& responses) {
   std::vector<double> values;
   for (const TestResponse& response : responses) {
@@ -51,7 +50,7 @@
   return sorted[std::min(index, sorted.size() - 1)];
 }
 
-// The brief's measures of one run.
+// The measured figures of one run; times in milliseconds.
 struct RunMeasures {
   size_t m_responses = 0;
   size_t m_failed = 0;
@@ -65,8 +64,8 @@
   double m_worst_workspace_success = 1;
 };
 
-// Largest number of effects at a server relative to the mean of its service's
-// servers; the worst service counts.
+// Returns the largest number of effects at a server relative to the mean of its
+// service, for the service where this ratio is worst.
 double ImbalanceOf(const std::vector<RunRecord>& records,
                    const std::vector<TestService>& services) {
   double worst = 0;
@@ -88,7 +87,8 @@
   return worst;
 }
 
-// Changes of owner after the first, over all partitions of a service.
+// Returns the number of owner changes of all partitions of a service, without
+// the first assignment of each.
 uint64_t ChurnOf(Cluster& cluster, const std::string& service) {
   uint64_t churn = 0;
   const Json::Value status = cluster.StatusOf(service);
@@ -99,7 +99,8 @@
   return churn;
 }
 
-// Share of successful responses of the workspace that fares worst.
+// Returns the fraction of successful responses of the workspace where this is
+// lowest.
 double WorstWorkspaceSuccess(const std::vector<TestResponse>& responses) {
   std::map<std::string, std::pair<size_t, size_t>> counts;
   for (const TestResponse& response : responses) {
@@ -166,7 +167,7 @@
   return all;
 }
 
-// Sizes of today at Rosario: 3 data centres, catalogue and billing.
+// Current sizes at Rosario: 3 data centres, services catalogue and billing.
 ClusterSettings Rosario() {
   ClusterSettings settings;
   settings.m_hosts = 10;
@@ -184,7 +185,7 @@
   return settings;
 }
 
-// Sizes of today at Jalisco: 4 data centres, padron and cobros.
+// Current sizes at Jalisco: 4 data centres, services padron and cobros.
 ClusterSettings Jalisco() {
   ClusterSettings settings = Rosario();
   settings.m_data_centres = {"gdl-1", "gdl-2", "gdl-3", "gdl-4"};
@@ -220,7 +221,7 @@
 
 using Fault = std::function<void(Cluster&, LoadGenerator&)>;
 
-// Runs one cluster under load with a fault after a second.
+// Runs one cluster under load and injects a fault after 1 s.
 RunMeasures RunOnce(const ClusterSettings& settings,
                     const LoadSettings& load_settings,
                     const Fault& fault,
@@ -255,7 +256,8 @@
   }
 }
 
-// Adds what an entry costs to a direct call, and the rate of one thread.
+// Measures the latency that an entry adds to a direct call, and the request
+// rate of one traffic thread.
 void MeasureBaseline() {
   ClusterSettings settings;
   settings.m_hosts = 1;
@@ -308,7 +310,7 @@
                  static_cast<double>(load.GetResponses().size()));
 }
 
-// What control costs each daemon while nothing happens, at Rosario's size.
+// Measures CPU and memory of the idle daemons, at Rosario's size.
 void MeasureIdle() {
   const ClusterSettings settings = Rosario();
   Cluster cluster(settings);
@@ -393,7 +395,8 @@
             seconds(4)));
 }
 
-// Two runs that differ in one flag of the entries or control processes.
+// Runs the same load and fault once for each value of a flag of the entries or
+// control processes.
 void CompareFlagValues(const std::string& name,
                        ClusterSettings settings,
                        const LoadSettings& load,
@@ -409,7 +412,7 @@
   }
 }
 
-// One greedy workspace floods a few servers that others share with it.
+// One workspace overloads a few servers that it shares with others.
 void MeasureQueue() {
   ClusterSettings settings;
   settings.m_services[0].m_servers = 2;
@@ -441,7 +444,7 @@
   }
 }
 
-// Demand at 80% of the rate, uneven over ten entries.
+// Demand is about 80% of the rate, unevenly distributed over ten entries.
 void MeasureShare() {
   ClusterSettings settings;
   settings.m_hosts = 10;
@@ -453,7 +456,7 @@
     Cluster cluster(settings);
     cluster.Start();
     LoadSettings load_settings = LoadSettingsFor(settings);
-    // Most requests come by two entries.
+    // Most requests arrive at two entries.
     load_settings.m_hosts = {0, 0, 0, 0, 0, 0, 1, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9};
     load_settings.m_non_idempotent_percent = 0;
     load_settings.m_fibers = 4;
@@ -470,7 +473,7 @@
   }
 }
 
-// A server restarts cold under full load.
+// One server restarts cold under full load.
 void MeasureRamp() {
   ClusterSettings settings;
   settings.m_services[0].m_servers = 4;
--- a/benchmarks/traffic/route_benchmark.cc
+++ b/benchmarks/traffic/route_benchmark.cc
@@ -17,7 +17,7 @@
   return routes;
 }
 
-// From a partition key to its server.
+// Measures the lookup of the server for a partition key.
 void MeasureRouteLookup(benchmark::State& state) {
   const CellRoutes routes = BuildRoutes(static_cast<uint32_t>(state.range(0)));
   uint64_t key = 0;
@@ -32,7 +32,7 @@
 }
 BENCHMARK(MeasureRouteLookup)->Arg(100)->Arg(1600)->Arg(25600);
 
-// From an API key to its workspace.
+// Measures the lookup of the workspace for an API key.
 void MeasureAuthenticate(benchmark::State& state) {
   auto view = std::make_shared<AccessView>();
   for (int64_t i = 0; i < state.range(0); ++i) {
--- a/scripts/demo_requests.py
+++ b/scripts/demo_requests.py
@@ -1,4 +1,4 @@
-"""Sends a few requests to the demo system and prints what came back."""
+"""Sends a few requests to the demo system and prints the responses."""
 
 import http.client
 import sys
--- a/src/standins/backend_standin.cc
+++ b/src/standins/backend_standin.cc
@@ -19,12 +19,12 @@
 constexpr std::array<SettingRow<S>, 10> kRows = {{
     {"listen", "STANDIN_BACKEND_LISTEN", "text", 9, 64, "IP:PORT",
      &S::m_listen},
-    {"name", "STANDIN_BACKEND_NAME", "text", 1, 64, "name in the record",
+    {"name", "STANDIN_BACKEND_NAME", "text", 1, 64, "name in the record file",
      &S::m_name},
     {"record-file", "STANDIN_BACKEND_RECORD_FILE", "text", 0, 4096,
      "file that records what ran; none means no record", &S::m_record_file},
     {"slots", "STANDIN_BACKEND_SLOTS", "requests", 1, 1000,
-     "requests run at once", &S::m_slots},
+     "requests that run concurrently", &S::m_slots},
     {"queue", "STANDIN_BACKEND_QUEUE", "requests", 0, 100'000,
      "requests that wait for a slot", &S::m_queue},
     {"checks-fence", "STANDIN_BACKEND_CHECKS_FENCE", "flag", 0, 1,
@@ -32,11 +32,11 @@
     {"service-time", "STANDIN_BACKEND_SERVICE_TIME", "ms", 0, 60'000,
      "time one request takes when warm", &S::m_service_time},
     {"cold-requests", "STANDIN_BACKEND_COLD_REQUESTS", "requests", 0, 1'000'000,
-     "requests until a cold server is warm", &S::m_cold_requests},
+     "executed requests until a cold server is warm", &S::m_cold_requests},
     {"cold-limit", "STANDIN_BACKEND_COLD_LIMIT", "requests", 1, 1000,
-     "requests at once that a cold server bears", &S::m_cold_limit},
+     "concurrent requests that a cold server can run", &S::m_cold_limit},
     {"cold-factor", "STANDIN_BACKEND_COLD_FACTOR", "factor", 1, 1000,
-     "factor on the service time while cold", &S::m_cold_factor},
+     "factor on the service time of a cold server", &S::m_cold_factor},
 }};
 
 constexpr const char* kCrashMarker = "crash-the-server";
@@ -89,8 +89,8 @@
   return response;
 }
 
-// A list replaces the one before; lists of earlier controllers and lists that
-// were outdated are refused.
+// A grant list replaces the previous one. Lists from an earlier controller and
+// lists with an old number are refused.
 HttpResponse BackendStandin::HandleGrant(const HttpRequest& request) {
   const Json::Value body = ParseJson(request.m_body);
   Grant grant;
@@ -146,8 +146,8 @@
   return state;
 }
 
-// Returns why the request may not run now, or an empty text. It is asked before
-// the run and again before its effect.
+// Returns why the request may not run now, or an empty string. RunRequest
+// checks this before the run and again before the effect.
 std::string BackendStandin::RefusalReason(const HttpRequest& request) const {
   const int64_t deadline = NumericHeader(request, "x-foxtail-deadline-unix-ms");
   if (deadline > 0 && WallNow() >= WallTime(milliseconds(deadline))) {
--- a/src/standins/backend_standin.h
+++ b/src/standins/backend_standin.h
@@ -21,45 +21,47 @@
   /// Address to listen on.
   std::string m_listen = "127.0.0.1:9000";
 
-  /// Name written to the record.
+  /// Name written to the record file.
   std::string m_name = "backend";
 
-  /// File that records event ran and when; empty means none.
+  /// File that records what ran and when; empty means none.
   std::string m_record_file;
 
-  /// Requests run at once.
+  /// Maximum number of requests that run concurrently.
   uint32_t m_slots = 2;
 
-  /// Requests that wait for a slot; one more is shed.
+  /// Maximum number of requests that wait for a slot; further requests are
+  /// shed.
   uint32_t m_queue = 2;
 
   /// 1 to check grants and fencing epochs.
   uint32_t m_checks_fence = 1;
 
-  /// Time one request takes when warm.
+  /// Service time of one request on a warm server.
   std::chrono::milliseconds m_service_time{2};
 
-  /// Requests until a cold server is warm.
+  /// Number of executed requests after which a cold server is warm.
   uint32_t m_cold_requests = 0;
 
-  /// Requests at once that a cold server bears; more are an overload.
+  /// Maximum number of concurrent requests on a cold server; more count as an
+  /// overload.
   uint32_t m_cold_limit = 1;
 
-  /// Factor on the service time while cold.
+  /// Factor on the service time while the server is cold.
   uint32_t m_cold_factor = 5;
 };
 
 /// The settings table of `standin-backend`.
 std::span<const SettingRow<BackendStandinSettings>> BackendStandinRows();
 
-/// Stand-in for a backend server: fenced grants, slots, shedding, cold start,
-/// deadlines, slowness and a request that crashes it. It records each run from
-/// its own point of view.
+/// Stand-in for a backend server: fenced grants, slots, load shedding, cold
+/// start, deadlines, slow periods and a request that crashes the process. The
+/// server records each run itself, independently of the router.
 class BackendStandin {
  public:
   explicit BackendStandin(const BackendStandinSettings& settings);
 
-  /// Answers one request.
+  /// Handles one request.
   HttpResponse Handle(HttpRequest& request);
 
  private:
--- a/src/standins/fault_proxy.h
+++ b/src/standins/fault_proxy.h
@@ -12,34 +12,35 @@
 
 namespace foxtail {
 
-/// What a faulty link does with bytes.
+/// Fault of a link between two processes.
 enum class LinkFault {
   kNone,
-  /// Connections are closed and new ones refused.
+  /// Open connections are closed and new ones refused.
   kCut,
-  /// Bytes wait in both directions until the link works again.
+  /// Bytes are held back in both directions until the fault is cleared.
   kFreeze,
-  /// Bytes towards the target wait.
+  /// Bytes towards the target are held back until the fault is cleared.
   kLoseRequests,
   /// Bytes from the target are dropped and the connection is closed.
   kLoseResponses,
 };
 
-/// Stand-in for a faulty network: forwards TCP connections over links whose
-/// faults are set while it runs.
+/// Stand-in for a faulty network: a TCP proxy whose links can be given faults
+/// at run time.
 class FaultProxy {
  public:
-  /// One link: "LISTEN=TARGET".
+  /// Each element of `links` has the form "LISTEN=TARGET". Throws `Error`
+  /// (kSettingInvalid) if the equals sign is missing.
   explicit FaultProxy(const std::vector<std::string>& links);
   ~FaultProxy();
 
   FaultProxy(const FaultProxy&) = delete;
   FaultProxy& operator=(const FaultProxy&) = delete;
 
-  /// Starts all links.
+  /// Starts accepting connections on all links.
   void Start();
 
-  /// Answers one control request: POST /links/N {"fault", "delay_ms"}.
+  /// Handles one control request: POST /links/N {"fault", "delay_ms"}.
   HttpResponse Handle(HttpRequest& request);
 
  private:
--- a/src/standins/platform_standin.cc
+++ b/src/standins/platform_standin.cc
@@ -41,12 +41,12 @@
 
 Query ParseQuery(const std::string& target) {
   Query query;
-  const size_t mark = target.find('?');
-  if (mark == std::string::npos) {
+  const size_t query_start = target.find('?');
+  if (query_start == std::string::npos) {
     return query;
   }
   std::vector<std::string> fields;
-  const std::string text = target.substr(mark + 1);
+  const std::string text = target.substr(query_start + 1);
   boost::algorithm::split(fields, text, [](char c) { return c == '&'; });
   for (const std::string& field : fields) {
     const size_t equals = field.find('=');
--- a/src/standins/platform_standin.h
+++ b/src/standins/platform_standin.h
@@ -15,12 +15,13 @@
 
 namespace foxtail {
 
-/// Stand-in for the platform's table store, with the failures that the real one
-/// has: outages, also for some callers only, slowness, answers that are lost
-/// after the write took effect, and history that is dropped.
+/// Stand-in for the platform's table store, with the failures of the real
+/// store: outages, slow responses, responses that are lost after the write took
+/// effect, and change history that is dropped.
 class PlatformStandin {
  public:
-  /// Answers one request: the store's row calls, and failures under /faults.
+  /// Handles one request: the store's row calls, and the injected failures
+  /// under /faults.
   HttpResponse Handle(HttpRequest& request);
 
  private:
@@ -40,11 +41,11 @@
   uint64_t VersionOf(const Key& key) const;
   Json::Value CommonFields() const;
 
-  /// Rows by table and key; removed ones stay for the feed.
+  /// Rows by table and key. Removed rows stay, since the feed reports them.
   std::map<Key, Row> m_rows;
   uint64_t m_last_version = 0;
 
-  /// Changes up to this version are no longer told.
+  /// The feed no longer reports changes up to this version.
   uint64_t m_history_start = 0;
   FiberEvent m_rows_changed;
   TimePoint m_started_at = Clock::now();
--- a/tests/integration/bad_input_test.cc
+++ b/tests/integration/bad_input_test.cc
@@ -8,7 +8,7 @@
 namespace foxtail {
 namespace {
 
-constexpr const char* kHead =
+constexpr const char* kRequestHead =
     "POST /catalogue/order HTTP/1.1\r\nhost: a\r\n"
     "authorization: Bearer key-club-1\r\nx-partition-key: key-1\r\n";
 
@@ -21,7 +21,8 @@
     m_cluster->Start();
   }
 
-  // Sends bytes to an entry and returns all it responses until it closes.
+  // Sends bytes to an entry and returns all bytes received until the entry
+  // closes the connection.
   std::string SendRaw(const std::string& bytes) {
     const Address address = m_cluster->EntryAddress(0);
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -49,13 +50,16 @@
 };
 
 TEST_F(BadInputTest, AmbiguousOrMalformedRequestsAreRefusedAndDoNotRun) {
-  const std::string head = kHead;
-  const std::string inner = "0\r\n\r\n" + head + "content-length: 0\r\n\r\n";
+  const std::string head = kRequestHead;
+  const std::string smuggled_request =
+      "0\r\n\r\n" + head + "content-length: 0\r\n\r\n";
   const std::vector<std::string> requests = {
-      head + "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n" + inner,
-      head + "transfer-encoding: chunked\r\ncontent-length: 4\r\n\r\n" + inner,
+      head + "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n" +
+          smuggled_request,
+      head + "transfer-encoding: chunked\r\ncontent-length: 4\r\n\r\n" +
+          smuggled_request,
       head + "content-length: 0\r\ncontent-length: 5\r\n\r\nhello",
-      head + "transfer-encoding: chunked, chunked\r\n\r\n" + inner,
+      head + "transfer-encoding: chunked, chunked\r\n\r\n" + smuggled_request,
       head + "authorization: Bearer other\r\ncontent-length: 0\r\n\r\n",
       head + "host: b\r\ncontent-length: 0\r\n\r\n",
       head + "content-length: -1\r\n\r\n",
@@ -75,7 +79,7 @@
 }
 
 TEST_F(BadInputTest, SlowClientIsDisconnectedAndOthersAreServed) {
-  EXPECT_EQ(SendRaw(std::string(kHead)), "");
+  EXPECT_EQ(SendRaw(std::string(kRequestHead)), "");
   HttpClient client;
   EXPECT_EQ(SendRequest(*m_cluster, client, TestRequest()).m_status, 200);
 }
--- a/tests/integration/faults_test.cc
+++ b/tests/integration/faults_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Long enough that a pause of the machine refuses nothing.
+// Long enough that a stall of the machine causes no refusals.
 constexpr milliseconds kLongDeadline{5000};
 
 class FaultsTest : public testing::Test {
@@ -31,7 +31,7 @@
     EXPECT_EQ(FindMismatchedResponse(responses), "");
   }
 
-  // Keeps a backend running, as the platform does with a crashed one.
+  // Restarts backends that crash, as the platform does.
   void StartSupervising(const std::vector<std::string>& names) {
     m_supervising = true;
     StartFiber([this, names] {
@@ -76,7 +76,7 @@
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   m_cluster->SetPlatformFault("down", 1);
-  // Longer than every lease, grant and word on API keys.
+  // Longer than the TTL of every lease, grant and copy of the API keys.
   boost::this_fiber::sleep_for(seconds(6));
   EXPECT_EQ(SendRequest(*m_cluster, m_client, withdrawn).m_status, 401);
   m_cluster->SetPlatformFault("down", 0);
@@ -128,28 +128,28 @@
   Start(settings);
   std::vector<TestResponse> responses;
   for (int round = 0; round < 2; ++round) {
-    TestRequest order;
-    order.m_idempotent = false;
-    order.m_id = NewRequestId("order-" + std::to_string(round));
-    Json::Value where;
-    where["service"] = "catalogue";
-    where["key"] = order.m_key;
+    TestRequest request;
+    request.m_idempotent = false;
+    request.m_id = NewRequestId("order-" + std::to_string(round));
+    Json::Value explain_parameters;
+    explain_parameters["service"] = "catalogue";
+    explain_parameters["key"] = request.m_key;
     const std::string owner =
-        m_cluster->Rpc("explain", where)["owner"].asString();
+        m_cluster->Rpc("explain", explain_parameters)["owner"].asString();
     const int host = m_cluster->DispatcherHostOf("catalogue", owner);
     ASSERT_GE(host, 0);
-    order.m_host = (static_cast<uint32_t>(host) + 1) % 3;
+    request.m_host = (static_cast<uint32_t>(host) + 1) % 3;
     bool first_done = false;
     StartFiber([&] {
-      responses.push_back(SendRequest(*m_cluster, m_client, order));
+      responses.push_back(SendRequest(*m_cluster, m_client, request));
       first_done = true;
     });
     boost::this_fiber::sleep_for(milliseconds(30));
     m_cluster->Entry(static_cast<uint32_t>(host)).Kill();
     ASSERT_TRUE(Cluster::Eventually([&] { return first_done; }));
-    // The caller does not know what happened and repeats.
+    // The client does not know whether the request ran and retries.
     for (int i = 0; i < 10; ++i) {
-      responses.push_back(SendRequest(*m_cluster, m_client, order));
+      responses.push_back(SendRequest(*m_cluster, m_client, request));
       boost::this_fiber::sleep_for(milliseconds(200));
     }
     m_cluster->StartEntry(static_cast<uint32_t>(host));
@@ -168,14 +168,14 @@
 TEST_F(FaultsTest, RetriedRequestRunsOnceAcrossAPlannedMove) {
   Start();
   std::vector<TestResponse> responses;
-  std::vector<TestRequest> orders;
+  std::vector<TestRequest> requests;
   for (int i = 0; i < 40; ++i) {
-    TestRequest order;
-    order.m_idempotent = false;
-    order.m_key = "key-" + std::to_string(i);
-    order.m_id = NewRequestId("moved-" + std::to_string(i));
-    orders.push_back(order);
-    responses.push_back(SendRequest(*m_cluster, m_client, order));
+    TestRequest request;
+    request.m_idempotent = false;
+    request.m_key = "key-" + std::to_string(i);
+    request.m_id = NewRequestId("moved-" + std::to_string(i));
+    requests.push_back(request);
+    responses.push_back(SendRequest(*m_cluster, m_client, request));
     EXPECT_EQ(responses.back().m_status, 200) << responses.back().m_body;
   }
   m_cluster->ConfirmChange(
@@ -188,9 +188,10 @@
                     row["owner"].asString() == "catalogue-3";
            });
   }));
-  for (const TestRequest& order : orders) {
-    const TestResponse response = SendRequest(*m_cluster, m_client, order);
-    // The memory moved along, so the repeat is known and not only doubted.
+  for (const TestRequest& request : requests) {
+    const TestResponse response = SendRequest(*m_cluster, m_client, request);
+    // The deduplication state moved with the partition, so the retry is
+    // refused as a duplicate rather than reported as possibly executed.
     EXPECT_EQ(response.m_error, "request_duplicate") << response.m_body;
     responses.push_back(response);
   }
@@ -198,8 +199,8 @@
   for (const RunRecord& record : m_cluster->ReadRecords()) {
     effects[record.m_request] += record.m_event == "effect";
   }
-  for (const TestRequest& order : orders) {
-    EXPECT_EQ(effects[order.m_id], 1);
+  for (const TestRequest& request : requests) {
+    EXPECT_EQ(effects[request.m_id], 1);
   }
 }
 
@@ -252,7 +253,8 @@
   load_settings.m_request_interval = milliseconds(0);
   LoadGenerator load(*m_cluster, load_settings);
   load.Start();
-  // Servers become slower than some deadlines and fast again, at odds.
+  // Servers become slower than some deadlines and fast again, at different
+  // times.
   for (int i = 0; i < 6; ++i) {
     const std::string name = "catalogue-" + std::to_string(i % 4 + 1);
     m_cluster->CallBackend(name, "{\"slow_factor\": 500, \"slow_ms\": 200}");
--- a/tests/integration/gateway_test.cc
+++ b/tests/integration/gateway_test.cc
@@ -17,29 +17,30 @@
 constexpr milliseconds kPollInterval{20};
 constexpr seconds kTimeout{10};
 
-Address Local(uint16_t port) {
+Address LoopbackAddress(uint16_t port) {
   return {"127.0.0.1", port};
 }
 
-/// The gateway and the store as processes; a backend server in this one.
+/// Runs the gateway and the store as processes, and a backend server inside the
+/// test process.
 class GatewayTest : public testing::Test {
  protected:
   GatewayTest()
       : m_platform("standin-platform",
-                   {"--listen", Local(m_store_port).ToString()},
+                   {"--listen", LoopbackAddress(m_store_port).ToString()},
                    "/dev/null"),
         m_gateway("foxtail-gateway",
-                  {"--listen", Local(m_client_port).ToString(), "--ready",
-                   Local(m_ready_port).ToString(), "--internal",
-                   Local(NextPort()).ToString(), "--metrics",
-                   Local(NextPort()).ToString(), "--store",
-                   Local(m_store_port).ToString(), "--data-centre", "dc-1",
-                   "--stop-delay", "300"},
+                  {"--listen", LoopbackAddress(m_client_port).ToString(),
+                   "--ready", LoopbackAddress(m_ready_port).ToString(),
+                   "--internal", LoopbackAddress(NextPort()).ToString(),
+                   "--metrics", LoopbackAddress(NextPort()).ToString(),
+                   "--store", LoopbackAddress(m_store_port).ToString(),
+                   "--data-centre", "dc-1", "--stop-delay", "300"},
                   "/dev/null"),
-        m_backend(Local(m_backend_port),
+        m_backend(LoopbackAddress(m_backend_port),
                   HttpServerSettings(),
                   [this](HttpRequest& request) { return Serve(request); }),
-        m_store(Local(m_store_port)) {
+        m_store(LoopbackAddress(m_store_port)) {
     m_backend.Start();
   }
 
@@ -82,8 +83,9 @@
   }
 
   int ReadyStatus() {
-    const ExchangeResult result = m_client.Exchange(
-        Local(m_ready_port), HttpRequest(), Clock::now() + seconds(1));
+    const ExchangeResult result =
+        m_client.Exchange(LoopbackAddress(m_ready_port), HttpRequest(),
+                          Clock::now() + seconds(1));
     return result.m_ok ? result.m_response.m_status : 0;
   }
 
@@ -95,14 +97,14 @@
     return ReadyStatus() == status;
   }
 
-  HttpResponse Send(const std::string& key) {
+  HttpResponse Send(const std::string& api_key) {
     HttpRequest request;
     request.m_target = "/x/1";
     request.m_headers.Set("Host", "a.example");
     request.m_headers.Set("X-Foxtailcart-Request-Id", "r1");
     request.m_headers.Set("X-Foxtailcart-Request-Deadline", "900");
-    request.m_headers.Set("X-Foxtailcart-Credential", key);
-    return m_client.Call(Local(m_client_port), request, seconds(2));
+    request.m_headers.Set("X-Foxtailcart-Credential", api_key);
+    return m_client.Call(LoopbackAddress(m_client_port), request, seconds(2));
   }
 
   uint16_t m_store_port = NextPort();
@@ -122,7 +124,8 @@
   EXPECT_EQ(Send("k").m_status, 503);
   WriteDirectory();
   ASSERT_TRUE(AwaitReady(200));
-  // A new leader hands out no tokens until those of one before have run out.
+  // A new leader issues no tokens until those of a possible predecessor have
+  // expired.
   HttpResponse served = Send("k");
   const TimePoint until = Clock::now() + seconds(3);
   while (served.m_status == 429 && Clock::now() < until) {
@@ -139,7 +142,8 @@
   EXPECT_EQ(m_served.size(), 1U);
 }
 
-// Found on a day with many hosts: the signal ended the process.
+// Regression test for a fault found in a run with many hosts: SIGHUP ended the
+// process.
 TEST_F(GatewayTest, HangUpSignalIsIgnored) {
   WriteDirectory();
   ASSERT_TRUE(AwaitReady(200));
@@ -149,8 +153,8 @@
   EXPECT_EQ(m_gateway.Terminate(), 0);
 }
 
-// Found in an incident: a watch of the store that waits for 25 s held the exit
-// up until the platform killed the process.
+// Regression test for an incident: the exit waited for a store watch of 25 s,
+// until the platform killed the process.
 TEST_F(GatewayTest, GracefulShutdownDoesNotWaitForTheStore) {
   WriteDirectory();
   ASSERT_TRUE(AwaitReady(200));
--- a/tests/integration/limits_test.cc
+++ b/tests/integration/limits_test.cc
@@ -14,16 +14,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Tokens by which the order of two clock readings may be off.
+// Tolerance in tokens, for records whose order differs from that of their clock
+// readings.
 constexpr double kTokenTolerance = 1;
 
-// Returns a description of the first window in which more effects of a
-// workspace happened than rate and burst allow, or an empty text.
+// Returns a description of the first moment at which more requests of a
+// workspace had begun than rate and burst allow, or an empty string.
 std::string FindOverRate(const std::vector<RunRecord>& records,
                          const std::string& workspace,
                          double rate,
                          double burst) {
-  // A token bucket with this rate and burst, run over the servers' own begins.
+  // A token bucket with this rate and burst, applied to the begin times that
+  // the servers recorded.
   double level = burst;
   int64_t last = 0;
   size_t count = 0;
@@ -84,7 +86,7 @@
   flood.Stop();
   const auto records = m_cluster->ReadRecords();
   EXPECT_EQ(FindOverRate(records, "club-1", kRate, kBurst), "");
-  // The rate is not only a limit: what it allows is served.
+  // Requests within the rate have to be served.
   EXPECT_GE(flood.CountStatus(200), static_cast<size_t>(kRate * 3));
   EXPECT_EQ(FindFalseResponse(records, flood.GetResponses()), "");
 }
@@ -132,7 +134,7 @@
   calm.Stop();
   flood.Stop();
   const size_t refused = calm.GetResponses().size() - calm.CountStatus(200);
-  // Under 1% of the requests within the rate may be refused.
+  // At most 1% of the requests within the rate may be refused.
   EXPECT_LE(refused * 100, calm.GetResponses().size());
 }
 
@@ -168,7 +170,8 @@
   LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(seconds(1));
-  // Restarted by its host, and turned cold again without warning.
+  // A restart by the host makes the server cold again, without notice to the
+  // entries.
   m_cluster->BackendProcess("catalogue-1").Kill();
   m_cluster->StartBackend("catalogue-1");
   boost::this_fiber::sleep_for(seconds(3));
--- a/tests/integration/operations_test.cc
+++ b/tests/integration/operations_test.cc
@@ -29,7 +29,7 @@
 class OperationsTest : public testing::Test {
  protected:
   void Start(ClusterSettings settings = ClusterSettings()) {
-    // Long enough that a pause of the machine refuses nothing.
+    // Long enough that a stall of the machine causes no refusals.
     if (settings.m_services[0].m_max_deadline == TestService().m_max_deadline) {
       settings.m_services[0].m_max_deadline = kLongDeadline;
     }
@@ -37,8 +37,8 @@
     m_cluster->Start();
   }
 
-  // The servers receive nothing more; from the stated time on where times are
-  // checked.
+  // Expects that the servers eventually receive no requests; if time limits are
+  // enforced, none later than kNoNewRequestsAfter after `confirmed`.
   void ExpectNoNewRequests(const std::vector<std::string>& servers,
                            TimePoint confirmed) {
     EXPECT_TRUE(Cluster::Eventually(
@@ -53,7 +53,7 @@
     }
   }
 
-  // Returns how many requests began at the servers after `time`.
+  // Returns the number of requests that began at the servers after `time`.
   size_t CountBegins(const std::vector<std::string>& servers, TimePoint time) {
     size_t count = 0;
     for (const RunRecord& record : m_cluster->ReadRecords()) {
@@ -96,7 +96,7 @@
     return CountBegins({"catalogue-2", "catalogue-4"}, returned) > 10;
   }));
   load.Stop();
-  // Planned moves refuse nothing.
+  // Planned moves cause no refusals.
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
   ExpectConsistentResponses(load);
 }
@@ -108,19 +108,20 @@
   ClusterSettings settings;
   settings.m_services[0].m_checks_fence = GetParam();
   settings.m_services[0].m_service_time = milliseconds(40);
-  // Servers without a fence are not moved from for a while after a takeover.
+  // For a time after a takeover, partitions are not moved away from servers
+  // that don't check fencing epochs.
   settings.m_services[0].m_max_deadline = milliseconds(1500);
   Start(settings);
-  // Few keys, so that each always has requests running and waiting.
+  // With few keys, each key always has requests running and waiting.
   LoadSettings load_settings;
   load_settings.m_fibers = 16;
   load_settings.m_keys = 4;
   load_settings.m_request_interval = milliseconds(0);
-  Json::Value where;
-  where["service"] = "catalogue";
-  where["key"] = "key-1";
+  Json::Value explain_parameters;
+  explain_parameters["service"] = "catalogue";
+  explain_parameters["key"] = "key-1";
   const std::string owner =
-      m_cluster->Rpc("explain", where)["owner"].asString();
+      m_cluster->Rpc("explain", explain_parameters)["owner"].asString();
   LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
@@ -136,7 +137,8 @@
   ExpectConsistentResponses(load);
 }
 
-// Without a fence only the dispatcher's letting go keeps two owners apart.
+// If the server doesn't check fencing epochs, only the release by the
+// dispatcher prevents two concurrent owners.
 INSTANTIATE_TEST_SUITE_P(Fence,
                          DrainTest,
                          testing::Bool(),
@@ -152,7 +154,8 @@
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   m_cluster->Entry(1).Signal(SIGTERM);
-  // The balancer looks away as soon as the health check fails.
+  // The load balancer stops sending to an entry as soon as the health check
+  // fails.
   HttpRequest health;
   health.m_target = "/health";
   EXPECT_TRUE(Cluster::Eventually([&] {
@@ -189,7 +192,7 @@
   Start(settings);
   TestRequest request;
   ASSERT_EQ(SendRequest(*m_cluster, m_client, request).m_status, 200);
-  // One entry hears nothing any more.
+  // Entry 2 no longer receives anything from the control processes.
   m_cluster->SetEntryLinkFaults(2, "freeze");
   const TimePoint confirmed = Clock::now();
   m_cluster->ConfirmChange(
@@ -211,7 +214,7 @@
       EXPECT_LE(last_success[host] - confirmed, kKeyRejectedAfter) << host;
     }
   }
-  // The cut entry does not even judge keys any more.
+  // The disconnected entry no longer decides whether API keys are valid.
   request.m_host = 2;
   request.m_workspace = "nobody";
   EXPECT_EQ(SendRequest(*m_cluster, m_client, request).m_error, "access_stale");
@@ -230,7 +233,7 @@
   const auto version =
       m_cluster->Rpc("confirm", parameters)["version"].asUInt64();
   EXPECT_EQ(version, 2U);
-  // To confirm again is safe and tells the same version.
+  // Confirming again is safe and returns the same version.
   EXPECT_EQ(m_cluster->Rpc("confirm", parameters)["version"].asUInt64(), 2U);
   parameters["plan"] = second;
   try {
@@ -278,20 +281,20 @@
   std::map<std::string, uint64_t> highest;
   bool went_back = false;
   bool watching = true;
-  bool ended = false;
+  bool watching_ended = false;
   StartFiber([&] {
     while (watching) {
       const Json::Value status = m_cluster->StatusOf("catalogue");
       for (const Json::Value& entry : status["dispatchers"]) {
-        uint64_t& known = highest[entry["address"].asString()];
+        uint64_t& highest_seen = highest[entry["address"].asString()];
         const uint64_t now = entry["configuration"].asUInt64();
-        // 0 is an entry that has not acted on any version yet.
-        went_back = went_back || (now != 0 && now < known);
-        known = std::max(known, now);
+        // 0 means that the entry has not applied any version yet.
+        went_back = went_back || (now != 0 && now < highest_seen);
+        highest_seen = std::max(highest_seen, now);
       }
       boost::this_fiber::sleep_for(milliseconds(20));
     }
-    ended = true;
+    watching_ended = true;
   });
   for (int i = 0; i < 3; ++i) {
     const uint64_t version = m_cluster->ConfirmChange(
@@ -321,7 +324,7 @@
                                       : Duration(kTimeout)));
   }
   watching = false;
-  Cluster::Eventually([&] { return ended; });
+  Cluster::Eventually([&] { return watching_ended; });
   EXPECT_FALSE(went_back);
 }
 
@@ -355,7 +358,8 @@
   for (uint32_t host = 0; host < 3; ++host) {
     m_cluster->StartControl(host);
   }
-  // All that the lease names are gone: the operator's word frees the cells.
+  // All processes named in the leases are gone, so the operator has to release
+  // the cells.
   EXPECT_TRUE(Cluster::Eventually([&] {
     try {
       for (const char* cell : {"access", "catalogue"}) {
@@ -370,8 +374,8 @@
   }));
   ASSERT_TRUE(
       Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
-  // The new controllers may move partitions on, under later epochs; nothing
-  // that was recorded may be undone.
+  // The new controllers may move partitions again under later epochs, but must
+  // not undo a recorded assignment.
   const auto after = owners();
   ASSERT_EQ(after.size(), before.size());
   for (const auto& [number, owner] : before) {
--- a/tests/integration/ownership_test.cc
+++ b/tests/integration/ownership_test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// From the size to design for: a key is served again within this time.
+// Required by the design sizes: a key is served again within this time.
 constexpr milliseconds kMaxOutage{2000};
 constexpr milliseconds kRunBeforeFault{500};
 constexpr milliseconds kRunAfterFault{4000};
@@ -44,8 +44,9 @@
     EXPECT_EQ(FindMismatchedResponse(m_load->GetResponses()), "");
   }
 
-  // A caller whose own entry is frozen waits for it; the balancer looks after
-  // that. What counts is how the others are served.
+  // Returns the longest outage without the clients of `without_host`. Clients
+  // of a frozen entry wait until the load balancer avoids it, so only the
+  // clients of the other entries count.
   milliseconds LongestOutage(int without_host = -1) const {
     std::vector<TestResponse> responses = m_load->GetResponses();
     std::erase_if(responses, [&](const TestResponse& response) {
@@ -55,7 +56,8 @@
         LongestKeyOutage(responses));
   }
 
-  // Keys are served again; within the stated time where times are checked.
+  // Expects that keys are served again; if time limits are enforced, within
+  // kMaxOutage.
   void ExpectServiceRestored(int without_host = -1) {
     EXPECT_TRUE(
         Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
@@ -69,7 +71,7 @@
     }
   }
 
-  // Answers by time since the fault, for the report of a failure.
+  // Counts responses by time since the fault, for the message of a failed test.
   std::string ResponseHistogram() const {
     std::map<int64_t, std::map<std::string, int>> counts;
     for (const TestResponse& response : m_load->GetResponses()) {
@@ -167,7 +169,7 @@
   ExpectServiceRestored();
 }
 
-// The cut-off entry still knows the old owner and has callers of its own.
+// The disconnected entry still routes to the old owner and still has clients.
 TEST_P(OwnershipTest, EntryCutFromControlWhileItsServerDrains) {
   const std::string owner = OwnerOfKey1();
   const int host = m_cluster->DispatcherHostOf("catalogue", owner);
@@ -197,7 +199,8 @@
   EXPECT_NE(m_cluster->HolderOf("catalogue"), static_cast<int>(holder));
 }
 
-// Two faults together: no time is promised, only one owner and true responses.
+// For two simultaneous faults no time limit is guaranteed, only a single owner
+// and correct responses.
 TEST_P(OwnershipTest, KilledServerAndController) {
   const std::string owner = OwnerOfKey1();
   const uint32_t holder = Holder();
--- a/tests/soak/soak_checks.cc
+++ b/tests/soak/soak_checks.cc
@@ -9,16 +9,17 @@
 namespace foxtail {
 namespace {
 
-// A withdrawn API key must not work for longer than this (the platform's
-// `revoke_s` in all deployments).
+// A withdrawn API key must stop working within this time (`revoke_s` of the
+// platform in all deployments).
 constexpr std::chrono::seconds kMaxWithdrawalDelay{5};
 
 bool StatesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// A key's runs in order of time carry tokens in order: otherwise a server ran
-// it under an older right than another had already used.
+// The fencing tokens of a key's runs must rise over time when the server
+// changes. Otherwise a server ran a request under an older grant than another
+// server had already used.
 void CheckExclusiveOwnership(const std::vector<SoakRun>& runs,
                              std::vector<std::string>& violations) {
   std::map<int, const SoakRun*> newest;
@@ -53,7 +54,7 @@
   }
   if (exchange.m_status == 200 &&
       (runs.empty() || exchange.m_body != "ran " + exchange.m_request)) {
-    violations.push_back("not the server's answer: " + name);
+    violations.push_back("response does not match the request: " + name);
   }
   for (const SoakWithdrawal& withdrawal : withdrawals) {
     if (!runs.empty() && withdrawal.m_api_key == exchange.m_api_key &&
@@ -75,7 +76,7 @@
       SoakRun run;
       int64_t at = 0;
       std::string api_key;
-      // A line that a kill cut short belongs to a run that did not begin.
+      // A line truncated by a kill belongs to a run that had not begun.
       if (fields >> at >> run.m_server >> run.m_request >> run.m_key >>
           run.m_fence >> api_key >> run.m_workspace) {
         run.m_started_at = TimePoint(Duration(at));
@@ -110,7 +111,7 @@
   }
   for (const auto& [request, request_runs] : by_request) {
     if (!request_runs.empty() && !sent[request]) {
-      violations.push_back("nobody sent " + request);
+      violations.push_back("ran without a request: " + request);
     }
   }
   return violations;
--- a/tests/soak/soak_checks.h
+++ b/tests/soak/soak_checks.h
@@ -8,32 +8,33 @@
 
 namespace foxtail {
 
-/// A run, as the server recorded it.
+/// The run of a request, as the server recorded it.
 struct SoakRun {
   TimePoint m_started_at;
   std::string m_server;
   std::string m_request;
 
-  /// -1 for a service that is not divided by keys.
+  /// Key; -1 for a service that is not sharded.
   int m_key = -1;
   uint64_t m_fence = 0;
   bool m_received_api_key = false;
   std::string m_workspace;
 };
 
-/// A request, as its client saw it.
+/// A request and its response, as the client saw them.
 struct SoakExchange {
   std::string m_request;
   bool m_idempotent = false;
   std::string m_api_key;
   TimePoint m_sent_at;
 
-  /// 0 when the connection ended without an answer.
+  /// HTTP status; 0 when the connection ended without a response.
   int m_status = 0;
   std::string m_body;
 };
 
-/// What the operator withdrew, and when the store had acknowledged it.
+/// An API key that the operator withdrew, and when the store acknowledged the
+/// withdrawal.
 struct SoakWithdrawal {
   std::string m_api_key;
   TimePoint m_acknowledged_at;
@@ -42,8 +43,8 @@
 /// Reads the records of all servers in the folder.
 std::vector<SoakRun> ReadSoakRuns(const std::string& folder);
 
-/// Returns a line for each violations promise. The clock is that of the
-/// machine, which all processes share.
+/// Returns a line for each violated guarantee. All times are readings of the
+/// machine's clock, which all processes share.
 std::vector<std::string> FindViolations(
     std::vector<SoakRun> runs,
     const std::vector<SoakExchange>& exchanges,
--- a/tests/soak/soak_checks_test.cc
+++ b/tests/soak/soak_checks_test.cc
@@ -36,30 +36,30 @@
                         const std::vector<SoakWithdrawal>& withdrawals = {}) {
     return FindViolations(std::move(runs), exchanges, withdrawals).size();
   };
-  // An older right used after a newer one at another server.
+  // A server uses an older grant after another server has used a newer one.
   EXPECT_EQ(
       count({RunOf("a", "s2", 4, seconds(0)), RunOf("b", "s1", 3, seconds(1))},
             {ExchangeOf("a", 200), ExchangeOf("b", 200)}),
       1U);
-  // Twice.
+  // A non-idempotent request runs twice.
   EXPECT_EQ(
       count({RunOf("a", "s1", 3, seconds(0)), RunOf("a", "s1", 3, seconds(1))},
             {ExchangeOf("a", 200)}),
       1U);
-  // Refused as not run, and run.
+  // A request runs although the response says that it did not.
   EXPECT_EQ(count({RunOf("a", "s1", 3, seconds(0))}, {ExchangeOf("a", 503)}),
             1U);
-  // Another request's answer, and one without a run.
+  // A response that belongs to another request, and a success without a run.
   SoakExchange mixed = ExchangeOf("a", 200);
   mixed.m_body = "ran b";
   EXPECT_EQ(count({RunOf("a", "s1", 3, seconds(0))}, {mixed}), 1U);
   EXPECT_EQ(count({}, {ExchangeOf("a", 200)}), 1U);
-  // A run that nobody asked for, an API key at a server.
+  // A run that no client requested, and an API key that reaches a server.
   EXPECT_EQ(count({RunOf("a", "s1", 3, seconds(0))}, {}), 1U);
   SoakRun leaked = RunOf("a", "s1", 3, seconds(0));
   leaked.m_received_api_key = true;
   EXPECT_EQ(count({leaked}, {ExchangeOf("a", 200)}), 1U);
-  // A withdrawn API key.
+  // A run with an API key that was withdrawn 6 s before.
   SoakExchange late = ExchangeOf("a", 200);
   late.m_sent_at = kStart + seconds(6);
   EXPECT_EQ(count({RunOf("a", "s1", 3, seconds(6))}, {late}, {{"key", kStart}}),
--- a/tests/soak/soak_clients.cc
+++ b/tests/soak/soak_clients.cc
@@ -15,10 +15,11 @@
 constexpr milliseconds kRequestDeadline{900};
 constexpr seconds kResponseTimeout{2};
 
-// Few keys, so that many requests meet the same owners.
+// The step limits clients to few keys, so that many requests go to the same
+// owners.
 constexpr uint32_t kKeyStep = 811;
 
-// A client changes its gateway after about this many requests.
+// All clients move on to the next gateway after this many requests in total.
 constexpr uint32_t kRequestsPerGateway = 15;
 
 struct RouteKind {
@@ -86,7 +87,7 @@
   exchange.m_request = "r" + std::to_string(++m_last_request_number);
   exchange.m_idempotent = route.m_idempotent;
   exchange.m_api_key = m_world.CurrentApiKey();
-  // Some keep a withdrawn key.
+  // Some clients keep using a withdrawn key.
   if (!m_world.GetWithdrawals().empty() && random() % 8 == 0) {
     exchange.m_api_key = m_world.GetWithdrawals().back().m_api_key;
   }
--- a/tests/soak/soak_clients.h
+++ b/tests/soak/soak_clients.h
@@ -10,8 +10,8 @@
 
 namespace foxtail {
 
-/// Clients that send one request after another to the gateways, on open
-/// connections for as long as these last.
+/// Clients that send one request after another to the gateways, and reuse their
+/// connections as long as possible.
 class SoakClients {
  public:
   SoakClients(const SoakWorld& world, size_t clients);
@@ -19,12 +19,13 @@
   /// Starts the clients; each is a fiber of the calling thread.
   void Start();
 
-  /// Ends them and waits for their last answers.
+  /// Stops the clients and waits for their last responses.
   void Stop();
 
   const std::vector<SoakExchange>& GetExchanges() const { return m_exchanges; }
 
-  /// Returns the part of the newest `count` requests that were served.
+  /// Returns the fraction of the latest `count` requests that were served; 0 if
+  /// there are fewer requests.
   double ServedFraction(size_t count) const;
 
  private:
--- a/tests/soak/soak_server.cc
+++ b/tests/soak/soak_server.cc
@@ -15,10 +15,10 @@
 constexpr uint32_t kQueue = 12;
 constexpr milliseconds kServiceTime{15};
 
-// A release is answered when what runs has ended.
+// Interval at which a release checks whether the running requests have ended.
 constexpr milliseconds kReleasePoll{5};
 
-std::string FieldOf(const HttpRequest& request, const std::string& name) {
+std::string HeaderField(const HttpRequest& request, const std::string& name) {
   return request.m_headers.GetOr("X-Foxtailcart-" + name, "");
 }
 
@@ -50,11 +50,11 @@
       return response;
     }
   }
-  const Duration hold = FromSeconds(body["hold_s"].asDouble());
+  const Duration ttl = FromSeconds(body["hold_s"].asDouble());
   for (uint32_t key = first; key <= last; ++key) {
     m_key_grants[key].m_fence = fence;
     m_key_grants[key].m_highest_fence = fence;
-    m_key_grants[key].m_valid_until = Clock::now() + hold;
+    m_key_grants[key].m_valid_until = Clock::now() + ttl;
   }
   return response;
 }
@@ -82,13 +82,13 @@
 }
 
 HttpResponse SoakServer::RunRequest(const HttpRequest& request) {
-  const std::string key_text = FieldOf(request, "Shard-Key");
+  const std::string key_text = HeaderField(request, "Shard-Key");
   const bool sharded = !key_text.empty();
   const uint32_t key = sharded ? std::stoul(key_text) : 0;
   const TimePoint deadline =
       Clock::now() +
-      milliseconds(std::stol(FieldOf(request, "Request-Deadline")));
-  if (FieldOf(request, "Target-Instance") != m_id) {
+      milliseconds(std::stol(HeaderField(request, "Request-Deadline")));
+  if (HeaderField(request, "Target-Instance") != m_id) {
     return NotRunResponse(421);
   }
   if (m_running_requests + m_waiting_requests >= kSlots + kQueue) {
@@ -102,22 +102,23 @@
   if (m_running_requests >= kSlots) {
     return NotRunResponse(503);
   }
-  KeyGrant& hold = m_key_grants.at(key);
-  if (sharded && Clock::now() >= hold.m_valid_until) {
+  KeyGrant& grant = m_key_grants.at(key);
+  if (sharded && Clock::now() >= grant.m_valid_until) {
     return NotRunResponse(421);
   }
   ++m_running_requests;
-  ++hold.m_running_requests;
-  const std::string id = FieldOf(request, "Request-Id");
-  // Written out before the work begins: a kill must not hide a run.
+  ++grant.m_running_requests;
+  const std::string id = HeaderField(request, "Request-Id");
+  // The record is flushed before the work begins, so that a kill cannot hide a
+  // run.
   m_record << Clock::now().time_since_epoch().count() << ' ' << m_id << ' '
            << id << ' ' << (sharded ? static_cast<int>(key) : -1) << ' '
-           << hold.m_fence << ' '
-           << (FieldOf(request, "Credential").empty() ? "-" : "key") << ' '
-           << FieldOf(request, "Tenant") << std::endl;
+           << grant.m_fence << ' '
+           << (HeaderField(request, "Credential").empty() ? "-" : "key") << ' '
+           << HeaderField(request, "Tenant") << std::endl;
   boost::this_fiber::sleep_for(kServiceTime);
   --m_running_requests;
-  --hold.m_running_requests;
+  --grant.m_running_requests;
   m_request_ended.Notify();
   HttpResponse response;
   response.m_headers.Set("X-Foxtailcart-Request-Id", id);
--- a/tests/soak/soak_server.h
+++ b/tests/soak/soak_server.h
@@ -11,13 +11,13 @@
 
 namespace foxtail {
 
-/// Stand-in for a backend server that enforces its grants as the platform's do.
-/// Records each run from its own point of view before it begins.
+/// Stand-in for a backend server that enforces its grants as the platform's
+/// servers do. The server records each run before the run begins.
 class SoakServer {
  public:
   SoakServer(std::string id, const std::string& record_file);
 
-  /// Answers a request or an order.
+  /// Handles a request, a grant call or a release call.
   HttpResponse Handle(HttpRequest& request);
 
  private:
--- a/tests/soak/soak_server_main.cc
+++ b/tests/soak/soak_server_main.cc
@@ -3,7 +3,7 @@
 #include "apps/standin_main.h"
 #include "soak/soak_server.h"
 
-// Arguments: the address to listen on, the server's id, the file of its record.
+// Arguments: the address to listen on, the server's id, and the record file.
 int main(int argc, char** argv) {
   if (argc != 4) {
     return foxtail::kExitSettings;
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -15,15 +15,17 @@
 constexpr size_t kClients = 10;
 constexpr seconds kStartTimeout{15};
 
-// Pause between two faults: several overlap at most times.
+// Interval between two faults. Most faults last longer, so several overlap at
+// most times.
 constexpr milliseconds kMinFaultInterval{50};
 constexpr int kFaultIntervalSpread = 500;  // milliseconds
 
-// The platform's `recover_s`: after this, service is back.
+// `recover_s` of the platform: service is restored within this time.
 constexpr seconds kRecoveryTimeout{15};
 
-// Requests over which service is judged, and the part that must be served: some
-// clients send an API key that was withdrawn, one in eight.
+// Number of latest requests that are checked, and the fraction of them that
+// must be served. The fraction allows for the one request in eight that is sent
+// with a withdrawn API key.
 constexpr size_t kServedSampleSize = 100;
 constexpr double kMinServedFraction = 0.75;
 
@@ -32,8 +34,10 @@
   return text ? static_cast<uint32_t>(std::stoul(text)) : fallback;
 }
 
-bool AwaitService(const SoakClients& clients, SoakWorld& world, Duration time) {
-  const TimePoint until = Clock::now() + time;
+bool AwaitService(const SoakClients& clients,
+                  SoakWorld& world,
+                  Duration timeout) {
+  const TimePoint until = Clock::now() + timeout;
   while (Clock::now() < until) {
     world.HealDueFaults();
     boost::this_fiber::sleep_for(milliseconds(50));
@@ -44,7 +48,8 @@
   return false;
 }
 
-/// FOXTAIL_SOAK_FIRST and _COUNT choose the seeds, _SECONDS the time of faults.
+/// FOXTAIL_SOAK_FIRST and FOXTAIL_SOAK_COUNT choose the seeds, and
+/// FOXTAIL_SOAK_SECONDS how long faults are injected.
 class SoakTest : public testing::TestWithParam<uint32_t> {};
 
 TEST_P(SoakTest, GuaranteesHoldUnderRandomFaults) {
@@ -67,10 +72,10 @@
   EXPECT_TRUE(AwaitService(clients, world, kRecoveryTimeout))
       << "served " << clients.ServedFraction(kServedSampleSize);
   clients.Stop();
-  for (const std::string& violations :
+  for (const std::string& violation :
        FindViolations(ReadSoakRuns(world.RecordFolder()),
                       clients.GetExchanges(), world.GetWithdrawals())) {
-    ADD_FAILURE() << violations;
+    ADD_FAILURE() << violation;
   }
   for (const std::string& process_failure : world.GetProcessFailures()) {
     ADD_FAILURE() << process_failure;
@@ -80,8 +85,8 @@
   }
 }
 
-// Seeds that failed once. 22: a hang-up signal that arrived right after the
-// start ended a gateway.
+// Seeds that failed before. 22: a SIGHUP that arrived right after the start
+// ended a gateway.
 INSTANTIATE_TEST_SUITE_P(Regressions, SoakTest, testing::Values(22));
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/soak/soak_world.cc
+++ b/tests/soak/soak_world.cc
@@ -17,17 +17,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The platform kills a process that has not ended by then (`grace_s`).
+// The platform kills a process that has not ended within this time after
+// SIGTERM (`grace_s`).
 constexpr seconds kStopTimeout{6};
 
 constexpr milliseconds kMinFaultDuration{200};
 constexpr int kFaultDurationSpread = 2500;  // milliseconds
 constexpr milliseconds kWriteRetryDelay{20};
 
-// A process that ends this soon after its start may not have begun yet.
+// A process that ends within this time after its start may not have reached its
+// signal handling yet.
 constexpr seconds kMinUptime{1};
 
-Address Local(uint16_t port) {
+Address LoopbackAddress(uint16_t port) {
   return {"127.0.0.1", port};
 }
 
@@ -35,7 +37,7 @@
   return "i-" + std::to_string(server);
 }
 
-std::string DataCentre(size_t number) {
+std::string DataCentreName(size_t number) {
   return "dc-" + std::to_string(number % 2);
 }
 
@@ -45,8 +47,8 @@
   static constexpr FaultKind kKinds[] = {
       {"kill gateway", &SoakWorld::KillGateway, false},
       {"pause gateway", &SoakWorld::PauseGateway, false},
-      {"stop gateway", &SoakWorld::StopGateway, false},
-      {"hang up gateway", &SoakWorld::HangUpGateway, false},
+      {"stop gateway", &SoakWorld::ShutDownGateway, false},
+      {"hang up gateway", &SoakWorld::SendHangUp, false},
       {"cut store link", &SoakWorld::CutStoreLink, false},
       {"freeze store link", &SoakWorld::FreezeStoreLink, false},
       {"lose store answers", &SoakWorld::LoseStoreResponses, false},
@@ -75,37 +77,47 @@
       m_proxy_port(NextPort()),
       m_gateways(settings.m_gateways),
       m_servers(settings.m_servers),
-      m_store(Local(m_store_port)) {
+      m_store(LoopbackAddress(m_store_port)) {
   std::filesystem::create_directories(RecordFolder());
   m_platform = std::make_unique<Process>(
       "standin-platform",
-      std::vector<std::string>{"--listen", Local(m_store_port).ToString()},
+      std::vector<std::string>{"--listen",
+                               LoopbackAddress(m_store_port).ToString()},
       m_folder + "/platform.log");
   std::string links;
   for (size_t i = 0; i < m_gateways.size(); ++i) {
-    const Address link = Local(NextPort());
-    links +=
-        fmt::format("{}={},", link.ToString(), Local(m_store_port).ToString());
+    const Address link = LoopbackAddress(NextPort());
+    links += fmt::format("{}={},", link.ToString(),
+                         LoopbackAddress(m_store_port).ToString());
     m_gateways[i].m_client_port = NextPort();
     m_gateways[i].m_arguments = {
-        "--listen",      Local(m_gateways[i].m_client_port).ToString(),
-        "--ready",       Local(NextPort()).ToString(),
-        "--internal",    Local(NextPort()).ToString(),
-        "--metrics",     Local(NextPort()).ToString(),
-        "--store",       link.ToString(),
-        "--data-centre", DataCentre(i),
-        "--stop-delay",  "1000"};
+        "--listen",
+        LoopbackAddress(m_gateways[i].m_client_port).ToString(),
+        "--ready",
+        LoopbackAddress(NextPort()).ToString(),
+        "--internal",
+        LoopbackAddress(NextPort()).ToString(),
+        "--metrics",
+        LoopbackAddress(NextPort()).ToString(),
+        "--store",
+        link.ToString(),
+        "--data-centre",
+        DataCentreName(i),
+        "--stop-delay",
+        "1000"};
   }
   for (Server& server : m_servers) {
     server.m_port = NextPort();
     server.m_link_port = NextPort();
-    links += fmt::format("{}={},", Local(server.m_link_port).ToString(),
-                         Local(server.m_port).ToString());
+    links +=
+        fmt::format("{}={},", LoopbackAddress(server.m_link_port).ToString(),
+                    LoopbackAddress(server.m_port).ToString());
   }
   links.pop_back();
   m_proxy = std::make_unique<Process>(
       "standin-proxy",
-      std::vector<std::string>{"--listen", Local(m_proxy_port).ToString(),
+      std::vector<std::string>{"--listen",
+                               LoopbackAddress(m_proxy_port).ToString(),
                                "--links", links},
       m_folder + "/proxy.log");
   WriteConfiguration();
@@ -126,7 +138,7 @@
 }
 
 Address SoakWorld::GatewayAddress(size_t gateway) const {
-  return Local(m_gateways[gateway].m_client_port);
+  return LoopbackAddress(m_gateways[gateway].m_client_port);
 }
 
 size_t SoakWorld::RandomBelow(size_t limit) {
@@ -139,20 +151,21 @@
       "foxtail-gateway", row.m_arguments,
       fmt::format("{}/gateway-{}.log", m_folder, gateway));
   row.m_was_paused = false;
-  row.m_stopping = false;
+  row.m_shutting_down = false;
   row.m_killed = false;
-  row.m_started = Clock::now();
+  row.m_started_at = Clock::now();
 }
 
-// As the platform does. A hang-up signal that arrives before the program has
-// begun ends it, which no program can prevent.
+// Restarts gateways as the platform does. A SIGHUP that arrives before the
+// program has begun ends the process, which no program can prevent; such an end
+// is not a failure.
 void SoakWorld::RestartEndedGateways() {
   for (size_t i = 0; i < m_gateways.size(); ++i) {
     const Gateway& row = m_gateways[i];
-    if (row.m_killed || row.m_stopping || row.m_process->IsRunning()) {
+    if (row.m_killed || row.m_shutting_down || row.m_process->IsRunning()) {
       continue;
     }
-    if (Clock::now() - row.m_started > kMinUptime) {
+    if (Clock::now() - row.m_started_at > kMinUptime) {
       m_process_failures.push_back(
           fmt::format("gateway {} ended by itself", i));
     }
@@ -166,7 +179,7 @@
   row.m_process = std::make_unique<Process>(
       "soak-server",
       std::vector<std::string>{
-          Local(row.m_port).ToString(), ServerId(server),
+          LoopbackAddress(row.m_port).ToString(), ServerId(server),
           fmt::format("{}/{}-{}", RecordFolder(), server, row.m_incarnation)},
       fmt::format("{}/server-{}.log", m_folder, server));
   RegisterServer(server);
@@ -180,8 +193,9 @@
       fmt::format(R"({{"address":"{}","born":{},"info":{{"service":"{}",)"
                   R"("zone":"{}","slots":4}},"status":{{"state":"{}",)"
                   R"("warmup_left_s":0}}}})",
-                  Local(row.m_link_port).ToString(), row.m_incarnation,
-                  sharded ? "keyed" : "open", DataCentre(server),
+                  LoopbackAddress(row.m_link_port).ToString(),
+                  row.m_incarnation, sharded ? "keyed" : "open",
+                  DataCentreName(server),
                   row.m_draining ? "draining" : "ready"));
 }
 
@@ -210,7 +224,7 @@
           keys));
 }
 
-// The operators' way to the store is not disturbed.
+// Operators reach the store directly, without injected faults.
 void SoakWorld::WriteStoreRow(const std::string& table,
                               const std::string& key,
                               const std::optional<std::string>& value) {
@@ -234,7 +248,7 @@
   request.m_target = "/links/" + std::to_string(link);
   request.m_body =
       fmt::format(R"({{"fault":"{}","delay_ms":{}}})", fault, delay_ms);
-  m_client.Call(Local(m_proxy_port), request, seconds(2));
+  m_client.Call(LoopbackAddress(m_proxy_port), request, seconds(2));
 }
 
 void SoakWorld::HealLater(Duration time,
@@ -265,13 +279,13 @@
 
 void SoakWorld::InjectFault() {
   const FaultKind& kind = FaultKinds()[RandomBelow(FaultKinds().size())];
-  const size_t subject =
+  const size_t target =
       RandomBelow(kind.m_on_server ? m_servers.size() : m_gateways.size());
   const Duration time =
       kMinFaultDuration + milliseconds(RandomBelow(kFaultDurationSpread));
-  m_history += fmt::format("{} {} for {} ms\n", kind.m_name, subject,
+  m_history += fmt::format("{} {} for {} ms\n", kind.m_name, target,
                            ToSeconds(time) * 1000);
-  (this->*kind.m_inject)(subject, time);
+  (this->*kind.m_inject)(target, time);
 }
 
 void SoakWorld::KillGateway(size_t gateway, Duration time) {
@@ -285,7 +299,7 @@
 }
 
 void SoakWorld::PauseGateway(size_t gateway, Duration time) {
-  if (m_gateways[gateway].m_stopping) {
+  if (m_gateways[gateway].m_shutting_down) {
     return;
   }
   m_gateways[gateway].m_was_paused = true;
@@ -295,16 +309,16 @@
   });
 }
 
-void SoakWorld::StopGateway(size_t gateway, Duration time) {
+void SoakWorld::ShutDownGateway(size_t gateway, Duration time) {
   Gateway& row = m_gateways[gateway];
-  if (!row.m_process->IsRunning() || row.m_was_paused || row.m_stopping) {
+  if (!row.m_process->IsRunning() || row.m_was_paused || row.m_shutting_down) {
     return;
   }
-  row.m_stopping = true;
+  row.m_shutting_down = true;
   row.m_process->Signal(SIGTERM);
   const auto restart = [this, gateway] {
     Gateway& stopped = m_gateways[gateway];
-    if (stopped.m_stopping && stopped.m_process->IsRunning()) {
+    if (stopped.m_shutting_down && stopped.m_process->IsRunning()) {
       m_process_failures.push_back(
           fmt::format("gateway {} did not end", gateway));
       stopped.m_process->Kill();
@@ -316,7 +330,7 @@
   HealLater(std::max<Duration>(time, kStopTimeout), restart, true);
 }
 
-void SoakWorld::HangUpGateway(size_t gateway, Duration) {
+void SoakWorld::SendHangUp(size_t gateway, Duration) {
   m_gateways[gateway].m_process->Signal(SIGHUP);
 }
 
@@ -404,7 +418,7 @@
 }
 
 void SoakWorld::Evacuate(size_t server, Duration time) {
-  const std::string row = "evacuate/" + DataCentre(server);
+  const std::string row = "evacuate/" + DataCentreName(server);
   WriteStoreRow("op", row, "{}");
   HealLater(time, [this, row] { WriteStoreRow("op", row, std::nullopt); });
 }
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -14,15 +14,15 @@
 
 namespace foxtail {
 
-/// Size of a soak.
+/// Size and seed of a soak test.
 struct SoakSettings {
   size_t m_gateways = 4;
   size_t m_servers = 6;
   uint32_t m_seed = 1;
 };
 
-/// The real programs as processes, with the store and the backend servers
-/// behind loopback proxies, and faults that are injected from outside.
+/// Runs the real programs as processes, with the store and the backend servers
+/// behind a loopback proxy, and injects faults from outside.
 class SoakWorld {
  public:
   explicit SoakWorld(const SoakSettings& settings);
@@ -31,14 +31,15 @@
   SoakWorld(const SoakWorld&) = delete;
   SoakWorld& operator=(const SoakWorld&) = delete;
 
-  /// Injects one fault drawn from the seed. Faults overlap; each is healed by
-  /// itself after some time.
+  /// Injects one random fault determined by the seed. Faults may overlap; each
+  /// is scheduled to be healed separately.
   void InjectFault();
 
-  /// Heals what is due.
+  /// Heals the faults whose time is over and restarts gateways that ended.
   void HealDueFaults();
 
-  /// Heals everything and starts what is down; planned stops go on.
+  /// Heals all faults and restarts what is down; graceful shutdowns in progress
+  /// continue.
   void HealAll();
 
   Address GatewayAddress(size_t gateway) const;
@@ -49,23 +50,24 @@
     return m_withdrawals;
   }
 
-  /// Planned stops that took too long, and processes that ended by themselves.
+  /// Descriptions of graceful shutdowns that took too long and of processes
+  /// that ended unexpectedly.
   const std::vector<std::string>& GetProcessFailures() const {
     return m_process_failures;
   }
 
-  /// What was injected, for the log of a failed seed.
+  /// The injected faults, one a line, for the log of a failed seed.
   const std::string& GetHistory() const { return m_history; }
 
   /// Returns an API key that is valid now.
   std::string CurrentApiKey() const { return m_api_keys.back(); }
 
  private:
-  using Fault = void (SoakWorld::*)(size_t subject, Duration time);
+  using FaultFunction = void (SoakWorld::*)(size_t target, Duration time);
 
   struct FaultKind {
     const char* m_name;
-    Fault m_inject;
+    FaultFunction m_inject;
     bool m_on_server;
   };
 
@@ -73,7 +75,8 @@
     TimePoint m_at;
     std::function<void()> m_heal;
 
-    /// A planned stop has its time, whatever else is healed.
+    /// The healing happens at `m_at` even on HealAll: a graceful shutdown gets
+    /// its full time.
     bool m_fixed_time = false;
   };
 
@@ -82,13 +85,13 @@
     uint16_t m_client_port = 0;
     std::vector<std::string> m_arguments;
 
-    /// Paused since its start, so that a stop may take longer.
+    /// The process was paused since its start, so its shutdown may take longer.
     bool m_was_paused = false;
-    bool m_stopping = false;
+    bool m_shutting_down = false;
 
-    /// Killed by the soak, which starts it again.
+    /// The soak test killed the process and restarts it.
     bool m_killed = false;
-    TimePoint m_started;
+    TimePoint m_started_at;
   };
 
   struct Server {
@@ -115,8 +118,8 @@
 
   void KillGateway(size_t gateway, Duration time);
   void PauseGateway(size_t gateway, Duration time);
-  void StopGateway(size_t gateway, Duration time);
-  void HangUpGateway(size_t gateway, Duration time);
+  void ShutDownGateway(size_t gateway, Duration time);
+  void SendHangUp(size_t gateway, Duration time);
   void CutStoreLink(size_t gateway, Duration time);
   void FreezeStoreLink(size_t gateway, Duration time);
   void LoseStoreResponses(size_t gateway, Duration time);
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -41,9 +41,10 @@
   return free;
 }
 
-// Takes the ports of one range for the life of this process: a port that is
-// free only while its process is being restarted must not go to another test.
-// With more test processes than ranges, they share.
+// Reserves a range of ports for the lifetime of this process, by a file lock.
+// Otherwise a port that is free only while its process restarts could be given
+// to another test. When there are more test processes than ranges, some share a
+// range.
 uint32_t ReservePortRange() {
   const uint32_t ranges = kPortCount / kPortsPerRange;
   for (uint32_t range = 0; range < ranges; ++range) {
@@ -59,7 +60,7 @@
   return kFirstPort + getpid() % ranges * kPortsPerRange;
 }
 
-std::string Local(uint16_t port) {
+std::string LoopbackAddress(uint16_t port) {
   return "127.0.0.1:" + std::to_string(port);
 }
 
@@ -86,7 +87,8 @@
 
 }  // namespace
 
-// Ports below the range from which outgoing connections take theirs.
+// The ports lie below the ephemeral range, so that no outgoing connection
+// occupies one of them.
 uint16_t NextPort() {
   static const uint32_t first = ReservePortRange();
   static uint32_t next = 0;
@@ -123,7 +125,7 @@
   m_backends.clear();
   m_proxy.reset();
   m_platform.reset();
-  // For a look at the logs of a failed test.
+  // FOXTAIL_TEST_KEEP keeps the logs of a failed test.
   if (std::getenv("FOXTAIL_TEST_KEEP") == nullptr) {
     std::filesystem::remove_all(m_folder);
   } else {
@@ -152,7 +154,7 @@
           m_settings.m_data_centres[i % m_settings.m_data_centres.size()]};
       Json::Value server;
       server["name"] = name;
-      server["address"] = Local(endpoint.m_port);
+      server["address"] = LoopbackAddress(endpoint.m_port);
       server["data_centre"] = endpoint.m_data_centre;
       server["slots"] = service.m_slots;
       server["queue"] = service.m_queue;
@@ -179,11 +181,11 @@
 }
 
 std::string Cluster::ControlAddressList() const {
-  std::string list;
+  std::string addresses;
   for (const uint16_t port : m_control_ports) {
-    list += (list.empty() ? "" : ",") + Local(port);
+    addresses += (addresses.empty() ? "" : ",") + LoopbackAddress(port);
   }
-  return list;
+  return addresses;
 }
 
 std::string Cluster::DataCentreOf(uint32_t host) const {
@@ -193,7 +195,8 @@
 void Cluster::StartProxy() {
   std::string links;
   const auto add = [&](uint16_t listen, uint16_t target) {
-    links += (links.empty() ? "" : ",") + Local(listen) + "=" + Local(target);
+    links += (links.empty() ? "" : ",") + LoopbackAddress(listen) + "=" +
+             LoopbackAddress(target);
   };
   for (uint32_t i = 0; i < m_settings.m_hosts; ++i) {
     add(m_platform_link_ports[i], m_platform_port);
@@ -205,8 +208,8 @@
   }
   m_proxy = std::make_unique<Process>(
       "standin-proxy",
-      std::vector<std::string>{"--listen", Local(m_proxy_port), "--links",
-                               links},
+      std::vector<std::string>{"--listen", LoopbackAddress(m_proxy_port),
+                               "--links", links},
       m_folder + "/proxy.out");
 }
 
@@ -234,11 +237,11 @@
                                 : m_platform_port;
   std::vector<std::string> arguments = {
       "--listen",
-      Local(m_control_ports[host]),
+      LoopbackAddress(m_control_ports[host]),
       "--peers",
       ControlAddressList(),
       "--platform",
-      Local(platform),
+      LoopbackAddress(platform),
       "--data-centre",
       DataCentreOf(host),
       "--cluster-secret",
@@ -257,14 +260,14 @@
   if (m_settings.m_with_fault_proxy) {
     controls.clear();
     for (const uint16_t port : m_entry_link_ports[host]) {
-      controls += (controls.empty() ? "" : ",") + Local(port);
+      controls += (controls.empty() ? "" : ",") + LoopbackAddress(port);
     }
   }
   std::vector<std::string> arguments = {
       "--listen",
-      Local(m_entry_ports[host]),
+      LoopbackAddress(m_entry_ports[host]),
       "--internal",
-      Local(m_internal_ports[host]),
+      LoopbackAddress(m_internal_ports[host]),
       "--control",
       controls,
       "--data-centre",
@@ -288,8 +291,8 @@
   m_backends[name] = std::make_unique<Process>(
       "standin-backend",
       std::vector<std::string>{
-          "--listen", Local(endpoint.m_port), "--name", name, "--record-file",
-          m_folder + "/" + name + ".record", "--slots",
+          "--listen", LoopbackAddress(endpoint.m_port), "--name", name,
+          "--record-file", m_folder + "/" + name + ".record", "--slots",
           std::to_string(service.m_slots), "--checks-fence",
           service.m_checks_fence ? "1" : "0", "--service-time",
           std::to_string(service.m_service_time.count()), "--cold-requests",
@@ -300,7 +303,7 @@
 void Cluster::Start() {
   m_platform = std::make_unique<Process>(
       "standin-platform",
-      std::vector<std::string>{"--listen", Local(m_platform_port)},
+      std::vector<std::string>{"--listen", LoopbackAddress(m_platform_port)},
       m_folder + "/platform.out");
   if (m_settings.m_with_fault_proxy) {
     StartProxy();
@@ -312,7 +315,7 @@
     StartControl(i);
     StartEntry(i);
   }
-  const bool responses = Eventually([&] {
+  const bool responding = Eventually([&] {
     try {
       Rpc("history", Json::Value(Json::objectValue));
       return true;
@@ -320,8 +323,8 @@
       return false;
     }
   });
-  if (!responses) {
-    throw std::runtime_error("the cluster does not start: " + ReadLogs());
+  if (!responding) {
+    throw std::runtime_error("no control process responded: " + ReadLogs());
   }
   Json::Value parameters;
   parameters["document"] = m_document;
@@ -354,7 +357,8 @@
                            const Json::Value& parameters) {
   const ControlRpcClient client(m_client, kClusterSecret,
                                 std::chrono::seconds(5));
-  return client.Call(Local(m_control_ports.at(host)), method, parameters);
+  return client.Call(LoopbackAddress(m_control_ports.at(host)), method,
+                     parameters);
 }
 
 Json::Value Cluster::Rpc(const std::string& method,
@@ -443,7 +447,8 @@
   for (const Json::Value& row : status["servers"]) {
     for (uint32_t i = 0; i < m_settings.m_hosts; ++i) {
       if (row["name"].asString() == server &&
-          row["dispatcher"].asString() == Local(m_internal_ports[i])) {
+          row["dispatcher"].asString() ==
+              LoopbackAddress(m_internal_ports[i])) {
         return static_cast<int>(i);
       }
     }
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -16,7 +16,8 @@
 
 namespace foxtail {
 
-/// Returns a free port of loopback that this process has not returned before.
+/// Returns a free loopback port from the range that this process has reserved.
+/// A port is returned again only after the whole range.
 uint16_t NextPort();
 
 /// A service of a test cluster.
@@ -40,20 +41,21 @@
   uint32_t m_weight = 1;
 };
 
-/// What a test cluster consists of.
+/// Size and settings of a test cluster.
 struct ClusterSettings {
   uint32_t m_hosts = 3;
   std::vector<std::string> m_data_centres = {"dc-1", "dc-2"};
   std::vector<TestService> m_services = {TestService()};
   std::vector<TestWorkspace> m_workspaces = {TestWorkspace()};
 
-  /// Whether faulty links stand between the processes.
+  /// Whether control processes reach the platform, and entries the control
+  /// processes, through `standin-proxy`, so that faults can be injected.
   bool m_with_fault_proxy = false;
   std::vector<std::string> m_entry_flags;
   std::vector<std::string> m_control_flags;
 };
 
-/// One line of a backend stand-in's own record.
+/// One line of a backend stand-in's record file.
 struct RunRecord {
   std::string m_server;
   std::string m_event;
@@ -66,27 +68,31 @@
   std::string m_line;
 };
 
-/// Real processes on loopback: platform and backend stand-ins, and on each host
-/// an entry and a control process.
+/// A cluster of real processes on loopback: platform and backend stand-ins, and
+/// an entry and a control process per host.
 class Cluster {
  public:
   explicit Cluster(const ClusterSettings& settings);
   ~Cluster();
 
-  /// Starts everything, applies the configuration and waits until all
-  /// partitions are served.
+  /// Starts all processes, applies the configuration and waits until all
+  /// partitions are served. Throws `std::runtime_error` with the logs if that
+  /// fails.
   void Start();
 
-  /// Makes a plan that changes one thing and confirms it; returns the version.
+  /// Makes a plan with one change and confirms the plan; returns the new
+  /// configuration version.
   uint64_t ConfirmChange(const std::map<std::string, std::string>& change);
 
-  /// Makes a plan without confirming it; returns its id.
+  /// Makes a plan with one change without confirming the plan; returns the
+  /// plan's id.
   std::string ProposeChange(const std::map<std::string, std::string>& change);
 
-  /// Calls a method at the first control process that responses.
+  /// Calls a method of the first control process that responds and is able to
+  /// execute the call.
   Json::Value Rpc(const std::string& method, const Json::Value& parameters);
 
-  /// Calls a method at one host's control process.
+  /// Calls a method of one host's control process.
   Json::Value RpcAt(uint32_t host,
                     const std::string& method,
                     const Json::Value& parameters);
@@ -94,30 +100,33 @@
   /// Returns the host whose control process holds a cell, or -1.
   int HolderOf(const std::string& cell);
 
-  /// Returns the status of a cell from its holder; null when nobody holds it.
+  /// Returns the status of a cell as its holder reports it; null when no
+  /// process holds the cell.
   Json::Value StatusOf(const std::string& cell);
 
-  /// Returns whether all partitions of a service are settled on servers that
-  /// are up.
+  /// Returns whether all partitions of a service are in the stable phase
+  /// ("settled") on servers that are up and have a dispatcher.
   bool IsStable(const std::string& service);
 
   /// Returns the host whose entry dispatches to a server, or -1.
   int DispatcherHostOf(const std::string& service, const std::string& server);
 
-  /// Sets a failure of the platform: "down", "delay_ms", "lose_answers".
+  /// Sets a failure of the platform stand-in: "down", "delay_ms" or
+  /// "lose_answers".
   void SetPlatformFault(const std::string& what, int value);
 
-  /// Sets a fault on the link from a host's control to the platform.
+  /// Sets a fault on the link from a host's control process to the platform.
   void SetPlatformLinkFault(uint32_t host, const std::string& fault);
 
-  /// Sets a fault on the links from a host's entry to all control processes.
+  /// Sets a fault on the links from a host's entry process to all control
+  /// processes.
   void SetEntryLinkFaults(uint32_t host, const std::string& fault);
 
-  /// Talks to a backend stand-in: GET without a body, else POST.
+  /// Calls /standin of a backend stand-in: GET if `body` is empty, else POST.
   Json::Value CallBackend(const std::string& name,
                           const std::string& body = "");
 
-  /// Starts or starts again the processes of a host or server.
+  /// Starts or restarts a process of a host, or a backend stand-in.
   void StartControl(uint32_t host);
   void StartEntry(uint32_t host);
   void StartBackend(const std::string& name);
@@ -133,18 +142,20 @@
   Address BackendAddress(const std::string& name) const;
   Address InternalAddress(uint32_t host) const;
 
-  /// Records of all backend stand-ins, ordered by time.
+  /// Returns the records of all backend stand-ins, ordered by time.
   std::vector<RunRecord> ReadRecords() const;
 
-  /// Everything that the processes wrote: logs, events and output.
+  /// Returns the contents of all files in the folder: logs, events, records and
+  /// output.
   std::string ReadLogs() const;
 
-  /// Waits until `condition` holds; returns false when it does not in time.
+  /// Waits until `condition` holds; returns false if `timeout` expires first.
   static bool Eventually(const std::function<bool()>& condition,
                          Duration timeout = std::chrono::seconds(20));
 
-  /// Returns whether times are checked too. They are on a quiet machine, with
-  /// the variable FOXTAIL_TIMED=1; a shared one may stop for seconds.
+  /// Returns whether tests check time limits too, which the variable
+  /// FOXTAIL_TIMED=1 requests. Only a quiet machine meets the limits; a shared
+  /// one may stall for seconds.
   static bool EnforcesTimeLimits();
 
   const std::string& GetFolder() const { return m_folder; }
--- a/tests/support/fake_world.cc
+++ b/tests/support/fake_world.cc
@@ -176,10 +176,10 @@
   for (const AskPromise& ask : outbox.m_promises) {
     RequestPromise(node, ask);
   }
-  for (const GivePromise& answer : outbox.m_promise_answers) {
-    const auto found = m_pending_promises.find(answer.m_handle);
+  for (const GivePromise& promise : outbox.m_promise_answers) {
+    const auto found = m_pending_promises.find(promise.m_handle);
     if (found != m_pending_promises.end()) {
-      found->second(answer.m_given);
+      found->second(promise.m_given);
       m_pending_promises.erase(found);
     }
   }
@@ -190,8 +190,8 @@
   for (const SendProbe& probe : outbox.m_probes) {
     node.m_inbox.m_probes.push_back({probe.m_server, true, "run"});
   }
-  for (const AnswerTokens& answer : outbox.m_tokens) {
-    m_token_responses[answer.m_handle] = answer.m_response;
+  for (const AnswerTokens& command : outbox.m_tokens) {
+    m_token_responses[command.m_handle] = command.m_response;
   }
 }
 
--- a/tests/support/fake_world.h
+++ b/tests/support/fake_world.h
@@ -11,11 +11,12 @@
 
 namespace foxtail {
 
-/// A configuration with one service "catalogue" of four servers, "server-0" to
-/// "server-3", in "dc-0" and "dc-1".
+/// Returns a configuration with one service "catalogue" of four servers,
+/// "server-0" to "server-3", in "dc-0" and "dc-1".
 Configuration OneServiceConfiguration();
 
-/// Fake of the platform's tables: in memory, at once, and unreliable on demand.
+/// Fake of the platform's tables: held in memory, synchronous, and with
+/// injectable failures.
 class FakeStore : public PlatformStore {
  public:
   RowResult Read(const RowKey& key) override;
@@ -26,7 +27,7 @@
 
   bool m_down = false;
 
-  /// The next write takes effect and is not answered.
+  /// The next write takes effect, but its response is lost.
   bool m_lose_next_response = false;
 
  private:
@@ -34,7 +35,7 @@
   uint64_t m_last_version = 0;
 };
 
-/// Fake of a control process: real decisions, no input or output.
+/// Fake of a control process: runs the real control systems without any I/O.
 struct FakeNode {
   ControlTables m_tables;
   ControlInbox m_inbox;
@@ -44,30 +45,34 @@
   bool m_paused = false;
 };
 
-/// Several fake control processes around a fake store, on a hand-written clock.
+/// Several fake control processes around a fake store, on a simulated clock.
 class FakeWorld {
  public:
   static constexpr size_t kNoNode = SIZE_MAX;
 
   explicit FakeWorld(size_t nodes);
 
-  /// Puts a configuration in force.
+  /// Stores a configuration as the confirmed one.
   void Configure(const Configuration& configuration);
 
-  /// Lets time pass in steps of 10 ms.
+  /// Advances the clock in steps of 10 ms.
   void RunFor(Duration duration);
 
-  /// Runs until the condition holds, at most 10 s; returns whether it does.
+  /// Runs until the condition holds, for at most 10 s of simulated time;
+  /// returns whether the condition holds.
   bool RunUntil(const std::function<bool()>& condition);
 
-  /// Runs until someone holds the cell and may decide.
+  /// Runs until a node has authority over the cell; returns false after 10 s of
+  /// simulated time.
   bool RunUntilHolder(const std::string& cell);
 
-  /// Returns which node has authority over the cell by its own clock. A paused
-  /// node counts too: it could act when it goes on within its authority.
+  /// Returns the node that has authority over the cell by its own clock, or
+  /// `kNoNode`. A paused node counts too: when resumed before its authority
+  /// ends, the node could act.
   size_t HolderOf(const std::string& cell) const;
 
-  /// Asks a node for tokens as a new dispatcher; returns how many it gives.
+  /// Requests tokens from a node as a new dispatcher; returns the number of
+  /// tokens granted.
   double RequestTokens(size_t node,
                        const std::string& workspace,
                        double wanted);
@@ -77,7 +82,7 @@
   FakeStore m_store;
   std::vector<FakeNode> m_nodes;
 
-  /// Most nodes that ever had authority over one cell at once.
+  /// Maximum number of nodes that had authority over one cell at the same time.
   size_t m_max_holders = 0;
 
  private:
--- a/tests/support/load_generator.cc
+++ b/tests/support/load_generator.cc
@@ -141,8 +141,8 @@
   return text;
 }
 
-// A run without an effect is none: its server was killed, or it gave the
-// request up because its grant or the deadline was over.
+// Runs without an effect are ignored: the server was killed, or aborted the
+// request because its grant or the deadline had expired.
 std::string FindConcurrentOwners(const std::vector<RunRecord>& records) {
   struct Run {
     std::string m_server;
@@ -189,11 +189,11 @@
       return "ran " + std::to_string(ran) + " times: " + id;
     }
     if (response.m_execution == "not_run" && ran > 0) {
-      return "told not run, but it ran: " + id + " " + response.m_error;
+      return "reported as not run, but ran: " + id + " " + response.m_error;
     }
     if (response.m_status == kStatusOk && !response.m_request.m_idempotent &&
         ran != 1) {
-      return "told that it ran, but it did not: " + id;
+      return "reported as run, but did not run: " + id;
     }
   }
   return "";
--- a/tests/support/load_generator.h
+++ b/tests/support/load_generator.h
@@ -16,7 +16,7 @@
   std::string m_workspace = "club-1";
   std::string m_key = "key-1";
 
-  /// Whether it may be repeated (GET /read) or not (POST /order).
+  /// Whether the request is idempotent (GET /read) or not (POST /order).
   bool m_idempotent = true;
 
   /// Request id; empty means none.
@@ -25,11 +25,11 @@
   std::chrono::milliseconds m_deadline{0};
 };
 
-/// What the caller was told.
+/// The response to a test request, as its client received it.
 struct TestResponse {
   TestRequest m_request;
 
-  /// 0 when the connection broke without an response.
+  /// HTTP status; 0 when the connection ended without a response.
   int m_status = 0;
   std::string m_execution;
   std::string m_error;
@@ -43,27 +43,27 @@
                          HttpClient& client,
                          const TestRequest& request);
 
-/// Returns a request id issued now.
+/// Returns a request id with the current time as its issue time.
 std::string NewRequestId(const std::string& name);
 
 /// Settings of a `LoadGenerator`.
 struct LoadSettings {
-  /// Fibers that each send one request after another.
+  /// Number of fibers; each sends one request after another.
   uint32_t m_fibers = 8;
 
-  /// Pause between two requests of a fiber.
+  /// Delay between a response and the fiber's next request.
   std::chrono::milliseconds m_request_interval{2};
   std::vector<uint32_t> m_hosts = {0, 1, 2};
   std::vector<std::string> m_services = {"catalogue"};
   std::vector<std::string> m_workspaces = {"club-1"};
   uint32_t m_keys = 24;
 
-  /// Part of the requests that may not be repeated, in percent.
+  /// Percentage of requests that are not idempotent.
   uint32_t m_non_idempotent_percent = 50;
   uint64_t m_seed = 1;
 };
 
-/// Callers that send requests in the background and keep every response.
+/// Clients that send requests in the background and record every response.
 class LoadGenerator {
  public:
   LoadGenerator(Cluster& cluster, const LoadSettings& settings);
@@ -72,7 +72,7 @@
   /// Starts the fibers.
   void Start();
 
-  /// Ends the fibers and waits for their last responses.
+  /// Stops the fibers and waits for their last responses.
   void Stop();
 
   /// Stops sending to a host.
@@ -80,11 +80,11 @@
 
   const std::vector<TestResponse>& GetResponses() const { return m_responses; }
 
-  /// Returns how many responses had a status.
+  /// Returns the number of responses with the given status.
   size_t CountStatus(int status) const;
 
-  /// Describes the kinds of responses other than status 200, with their
-  /// numbers.
+  /// Returns the number of responses other than status 200 for each host,
+  /// status, error and execution state; one line each.
   std::string DescribeFailures() const;
 
  private:
@@ -99,22 +99,23 @@
 };
 
 /// Returns a description of the first moment at which two servers ran requests
-/// of one partition, or an empty text.
+/// of one partition, or an empty string.
 std::string FindConcurrentOwners(const std::vector<RunRecord>& records);
 
-/// Returns a description of the first contradiction between what callers were
-/// told and what ran: an order that ran twice, "not run" that ran, a success
-/// that did not run; or an empty text.
+/// Returns a description of the first contradiction between the responses and
+/// the servers' records, or an empty string: a non-idempotent request that ran
+/// twice, a request that ran although its response says "not_run", or a success
+/// that did not run.
 std::string FindFalseResponse(const std::vector<RunRecord>& records,
                               const std::vector<TestResponse>& responses);
 
 /// Returns a description of the first response that belongs to another request,
-/// or an empty text.
+/// or an empty string.
 std::string FindMismatchedResponse(const std::vector<TestResponse>& responses);
 
-/// Returns the longest time for which any key was not served: from the sending
-/// of the first request that failed to the next response of status 200. A slow
-/// success counts with its whole latency.
+/// Returns the longest time for which any key was not served, measured from the
+/// sending of the first failed request to the next response with status 200. A
+/// slow success counts with its whole latency.
 Duration LongestKeyOutage(const std::vector<TestResponse>& responses);
 
 }  // namespace foxtail
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -66,7 +66,7 @@
 
 int Process::Wait() {
   while (IsRunning()) {
-    // Other fibers of the test go on meanwhile.
+    // A blocking wait would stop the other fibers of the test.
     boost::this_fiber::sleep_for(std::chrono::milliseconds(2));
   }
   return m_exit_code;
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -9,10 +9,12 @@
 
 namespace foxtail {
 
-/// A program of the build, started by a test and ended with it.
+/// A child process that runs a program of the build. The destructor kills the
+/// process.
 class Process {
  public:
-  /// Starts `program` from the build's bin folder. Output goes to `output`.
+  /// Starts `program` from the build's bin folder and appends its output to the
+  /// file `output`. Throws `std::runtime_error` on failure.
   Process(const std::string& program,
           const std::vector<std::string>& arguments,
           const std::string& output);
@@ -21,27 +23,28 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  /// Sends a signal to this process only.
+  /// Sends a signal to the process.
   void Signal(int number) const;
 
-  /// Ends the process at once and waits for its end.
+  /// Sends SIGKILL and waits until the process has ended.
   void Kill();
 
-  /// Asks for a planned stop and waits; returns the exit code, or -1 when a
-  /// signal ended it.
+  /// Sends SIGTERM, which begins a graceful shutdown, and waits; returns the
+  /// exit code, or -1 if a signal ended the process.
   int Terminate();
 
-  /// Waits for the end; returns the exit code, or -1 when a signal ended it.
+  /// Waits until the process has ended; returns the exit code, or -1 if a
+  /// signal ended the process.
   int Wait();
 
-  /// Processor time used so far, and resident memory in bytes.
+  /// CPU time used so far, and resident memory in bytes.
   struct Usage {
     std::chrono::milliseconds m_cpu{0};
     size_t m_memory = 0;
   };
   Usage ReadUsage() const;
 
-  /// Returns whether the process has not ended yet.
+  /// Returns whether the process is still running.
   bool IsRunning();
 
  private:
