--- a/benchmarks/measure.cc
+++ b/benchmarks/measure.cc
@@ -202,7 +202,7 @@
 LoadSettings LoadSettingsFor(const ClusterSettings& settings) {
   LoadSettings load;
   load.m_fibers = 24;
-  load.m_request_interval = milliseconds(10);
+  load.m_request_delay = milliseconds(10);
   load.m_keys = 200;
   load.m_hosts.clear();
   for (uint32_t i = 0; i < settings.m_hosts; ++i) {
@@ -291,7 +291,7 @@
   LoadSettings load_settings;
   load_settings.m_hosts = {0};
   load_settings.m_fibers = 64;
-  load_settings.m_request_interval = milliseconds(0);
+  load_settings.m_request_delay = milliseconds(0);
   load_settings.m_non_idempotent_percent = 0;
   LoadGenerator load(cluster, load_settings);
   const TimePoint start = Clock::now();
@@ -421,7 +421,7 @@
   settings.m_workspaces = Workspaces("club-", 4);
   LoadSettings load = LoadSettingsFor(settings);
   load.m_fibers = 40;
-  load.m_request_interval = milliseconds(0);
+  load.m_request_delay = milliseconds(0);
   load.m_workspaces = {"club-1"};
   PrintHeader();
   for (const std::string value : {"fifo", "fair"}) {
@@ -432,7 +432,7 @@
     LoadSettings calm_settings = load;
     calm_settings.m_workspaces = {"club-2", "club-3", "club-4"};
     calm_settings.m_fibers = 6;
-    calm_settings.m_request_interval = milliseconds(20);
+    calm_settings.m_request_delay = milliseconds(20);
     LoadGenerator calm(cluster, calm_settings);
     greedy.Start();
     calm.Start();
@@ -460,7 +460,7 @@
     load_settings.m_hosts = {0, 0, 0, 0, 0, 0, 1, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9};
     load_settings.m_non_idempotent_percent = 0;
     load_settings.m_fibers = 4;
-    load_settings.m_request_interval = milliseconds(22);
+    load_settings.m_request_delay = milliseconds(22);
     LoadGenerator load(cluster, load_settings);
     const TimePoint start = Clock::now();
     load.Start();
@@ -481,7 +481,7 @@
   settings.m_services[0].m_cold_requests = 30;
   LoadSettings load = LoadSettingsFor(settings);
   load.m_fibers = 30;
-  load.m_request_interval = milliseconds(1);
+  load.m_request_delay = milliseconds(1);
   PrintHeader();
   for (const std::string value : {"fixed", "ramp"}) {
     settings.m_entry_flags = {"--limit", value};
--- a/tests/integration/faults_test.cc
+++ b/tests/integration/faults_test.cc
@@ -250,7 +250,7 @@
   Start(settings);
   LoadSettings load_settings;
   load_settings.m_fibers = 24;
-  load_settings.m_request_interval = milliseconds(0);
+  load_settings.m_request_delay = milliseconds(0);
   LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   // Servers become slower than some deadlines and fast again, at different
--- a/tests/integration/limits_test.cc
+++ b/tests/integration/limits_test.cc
@@ -127,7 +127,7 @@
   LoadSettings calm_settings = FloodLoadSettings();
   calm_settings.m_workspaces = {"club-2"};
   calm_settings.m_fibers = 1;
-  calm_settings.m_request_interval = milliseconds(25);
+  calm_settings.m_request_delay = milliseconds(25);
   LoadGenerator calm(*m_cluster, calm_settings);
   calm.Start();
   boost::this_fiber::sleep_for(seconds(3));
@@ -145,7 +145,7 @@
   Start(settings);
   LoadSettings load_settings;
   load_settings.m_fibers = 40;
-  load_settings.m_request_interval = milliseconds(0);
+  load_settings.m_request_delay = milliseconds(0);
   LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(seconds(2));
@@ -166,7 +166,7 @@
   Start(settings);
   LoadSettings load_settings;
   load_settings.m_fibers = 30;
-  load_settings.m_request_interval = milliseconds(0);
+  load_settings.m_request_delay = milliseconds(0);
   LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(seconds(1));
--- a/tests/integration/operations_test.cc
+++ b/tests/integration/operations_test.cc
@@ -16,7 +16,7 @@
 
 constexpr milliseconds kNoNewRequestsAfter{3000};
 constexpr milliseconds kKeyRejectedAfter{3000};
-constexpr milliseconds kInForceAfter{6000};
+constexpr milliseconds kMaxActivationTime{6000};
 constexpr milliseconds kLongDeadline{5000};
 constexpr seconds kTimeout{30};
 
@@ -116,7 +116,7 @@
   LoadSettings load_settings;
   load_settings.m_fibers = 16;
   load_settings.m_keys = 4;
-  load_settings.m_request_interval = milliseconds(0);
+  load_settings.m_request_delay = milliseconds(0);
   Json::Value explain_parameters;
   explain_parameters["service"] = "catalogue";
   explain_parameters["key"] = "key-1";
@@ -320,7 +320,7 @@
                               entry["heard_ms_ago"].asInt64() > 1000;
                      });
         },
-        Cluster::EnforcesTimeLimits() ? Duration(kInForceAfter)
+        Cluster::EnforcesTimeLimits() ? Duration(kMaxActivationTime)
                                       : Duration(kTimeout)));
   }
   watching = false;
--- a/tests/integration/ownership_test.cc
+++ b/tests/integration/ownership_test.cc
@@ -31,7 +31,7 @@
     m_load = std::make_unique<LoadGenerator>(*m_cluster, LoadSettings());
   }
 
-  void RunWith(const std::function<void()>& fault) {
+  void RunWithFault(const std::function<void()>& fault) {
     m_load->Start();
     boost::this_fiber::sleep_for(kRunBeforeFault);
     m_fault_at = Clock::now();
@@ -111,13 +111,13 @@
 
 TEST_P(OwnershipTest, KilledServer) {
   const std::string owner = OwnerOfKey1();
-  RunWith([&] { m_cluster->BackendProcess(owner).Kill(); });
+  RunWithFault([&] { m_cluster->BackendProcess(owner).Kill(); });
   ExpectServiceRestored();
 }
 
 TEST_P(OwnershipTest, FrozenServerReturns) {
   const std::string owner = OwnerOfKey1();
-  RunWith([&] {
+  RunWithFault([&] {
     Process& server = m_cluster->BackendProcess(owner);
     server.Signal(SIGSTOP);
     boost::this_fiber::sleep_for(milliseconds(2500));
@@ -128,14 +128,14 @@
 
 TEST_P(OwnershipTest, KilledController) {
   const uint32_t holder = Holder();
-  RunWith([&] { m_cluster->Control(holder).Kill(); });
+  RunWithFault([&] { m_cluster->Control(holder).Kill(); });
   ExpectServiceRestored();
   EXPECT_NE(m_cluster->HolderOf("catalogue"), static_cast<int>(holder));
 }
 
 TEST_P(OwnershipTest, PausedControllerReturns) {
   const uint32_t holder = Holder();
-  RunWith([&] {
+  RunWithFault([&] {
     m_cluster->Control(holder).Signal(SIGSTOP);
     boost::this_fiber::sleep_for(milliseconds(2500));
     m_cluster->Control(holder).Signal(SIGCONT);
@@ -144,7 +144,7 @@
 }
 
 TEST_P(OwnershipTest, KilledEntry) {
-  RunWith([&] {
+  RunWithFault([&] {
     m_load->StopSendingTo(1);
     m_cluster->Entry(1).Kill();
   });
@@ -152,7 +152,7 @@
 }
 
 TEST_P(OwnershipTest, PausedEntryReturns) {
-  RunWith([&] {
+  RunWithFault([&] {
     m_load->StopSendingTo(1);
     m_cluster->Entry(1).Signal(SIGSTOP);
     boost::this_fiber::sleep_for(milliseconds(2500));
@@ -162,7 +162,7 @@
 }
 
 TEST_P(OwnershipTest, EntryCutFromControl) {
-  RunWith([&] {
+  RunWithFault([&] {
     m_load->StopSendingTo(1);
     m_cluster->SetEntryLinkFaults(1, "freeze");
   });
@@ -174,7 +174,7 @@
   const std::string owner = OwnerOfKey1();
   const int host = m_cluster->DispatcherHostOf("catalogue", owner);
   ASSERT_GE(host, 0);
-  RunWith([&] {
+  RunWithFault([&] {
     m_cluster->SetEntryLinkFaults(static_cast<uint32_t>(host), "freeze");
     m_cluster->ConfirmChange({{"kind", "server"},
                               {"service", "catalogue"},
@@ -185,7 +185,7 @@
 }
 
 TEST_P(OwnershipTest, OneWayLossFromEntryToControl) {
-  RunWith([&] {
+  RunWithFault([&] {
     m_load->StopSendingTo(2);
     m_cluster->SetEntryLinkFaults(2, "lose_answers");
   });
@@ -194,7 +194,7 @@
 
 TEST_P(OwnershipTest, ControllerCutFromThePlatform) {
   const uint32_t holder = Holder();
-  RunWith([&] { m_cluster->SetPlatformLinkFault(holder, "freeze"); });
+  RunWithFault([&] { m_cluster->SetPlatformLinkFault(holder, "freeze"); });
   ExpectServiceRestored();
   EXPECT_NE(m_cluster->HolderOf("catalogue"), static_cast<int>(holder));
 }
@@ -204,7 +204,7 @@
 TEST_P(OwnershipTest, KilledServerAndController) {
   const std::string owner = OwnerOfKey1();
   const uint32_t holder = Holder();
-  RunWith([&] {
+  RunWithFault([&] {
     m_cluster->Control(holder).Kill();
     m_cluster->BackendProcess(owner).Kill();
   });
--- a/tests/soak/soak_clients.cc
+++ b/tests/soak/soak_clients.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kRequestInterval{12};
+constexpr milliseconds kRequestDelay{12};
 constexpr milliseconds kRequestDeadline{900};
 constexpr seconds kResponseTimeout{2};
 
@@ -52,7 +52,7 @@
 void SoakClients::Stop() {
   m_stopping = true;
   while (m_running_clients > 0) {
-    boost::this_fiber::sleep_for(kRequestInterval);
+    boost::this_fiber::sleep_for(kRequestDelay);
   }
 }
 
@@ -72,7 +72,7 @@
   HttpClient http;
   while (!m_stopping) {
     SendOne(client, random, http);
-    boost::this_fiber::sleep_for(kRequestInterval);
+    boost::this_fiber::sleep_for(kRequestDelay);
   }
 }
 
--- a/tests/support/fake_world.h
+++ b/tests/support/fake_world.h
@@ -40,8 +40,6 @@
   ControlTables m_tables;
   ControlInbox m_inbox;
   std::unique_ptr<ControlTick> m_tick;
-
-  /// The process is paused.
   bool m_paused = false;
 };
 
--- a/tests/support/load_generator.cc
+++ b/tests/support/load_generator.cc
@@ -107,7 +107,7 @@
     request.m_id =
         NewRequestId(std::to_string(index) + "-" + std::to_string(++sent));
     m_responses.push_back(SendRequest(m_cluster, m_client, request));
-    boost::this_fiber::sleep_for(m_settings.m_request_interval);
+    boost::this_fiber::sleep_for(m_settings.m_request_delay);
   }
   --m_running;
 }
--- a/tests/support/load_generator.h
+++ b/tests/support/load_generator.h
@@ -52,7 +52,7 @@
   uint32_t m_fibers = 8;
 
   /// Delay between a response and the fiber's next request.
-  std::chrono::milliseconds m_request_interval{2};
+  std::chrono::milliseconds m_request_delay{2};
   std::vector<uint32_t> m_hosts = {0, 1, 2};
   std::vector<std::string> m_services = {"catalogue"};
   std::vector<std::string> m_workspaces = {"club-1"};
