--- a/src/standins/platform_standin.h
+++ b/src/standins/platform_standin.h
@@ -15,12 +15,13 @@
 
 namespace foxtail {
 
-/// Stand-in for the platform's table store, with the failures that the real one
-/// has: outages, also for some callers only, slowness, answers that are lost
-/// after the write took effect, and history that is dropped.
+/// Stand-in for the platform's table store, with the failures of the real
+/// store: outages, slow responses, responses that are lost after the write took
+/// effect, and change history that is dropped.
 class PlatformStandin {
  public:
-  /// Answers one request: the store's row calls, and failures under /faults.
+  /// Handles one request: the store's row calls, and the injected failures
+  /// under /faults.
   HttpResponse Handle(HttpRequest& request);
 
  private:
@@ -35,22 +36,22 @@
   HttpResponse HandleFaults(const HttpRequest& request);
   HttpResponse HandleRows(const HttpRequest& request);
   HttpResponse GetRows(const std::map<std::string, std::string>& query) const;
-  HttpResponse Feed(const std::map<std::string, std::string>& query);
-  HttpResponse Transact(const std::string& text);
+  HttpResponse ReadFeed(const std::map<std::string, std::string>& query);
+  HttpResponse RunTransaction(const std::string& text);
   uint64_t VersionOf(const Key& key) const;
-  Json::Value Envelope() const;
+  Json::Value CommonFields() const;
 
-  /// Rows by table and key; removed ones stay for the feed.
+  /// Rows by table and key. Removed rows stay, since the feed reports them.
   std::map<Key, Row> m_rows;
   uint64_t m_last_version = 0;
 
-  /// Changes up to this version are no longer told.
+  /// The feed no longer reports changes up to this version.
   uint64_t m_history_start = 0;
-  FiberEvent m_changed;
-  TimePoint m_started = Clock::now();
+  FiberEvent m_rows_changed;
+  TimePoint m_started_at = Clock::now();
   bool m_down = false;
-  uint32_t m_lose_answers = 0;
-  std::chrono::milliseconds m_delay{0};
+  uint32_t m_responses_to_lose = 0;
+  std::chrono::milliseconds m_request_delay{0};
   uint64_t m_reads = 0;
   uint64_t m_writes = 0;
 };
--- a/tests/control/control_test.cc
+++ b/tests/control/control_test.cc
@@ -14,11 +14,11 @@
 
 TEST(LeaseTest, StandbyTakesOverOnlyAfterLeaseExpires) {
   FakeWorld world(2);
-  world.Configure(OneService());
+  world.Configure(OneServiceConfiguration());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   const size_t holder = world.HolderOf("catalogue");
   world.RunFor(milliseconds(1000));
-  world.m_nodes[holder].m_stopped = true;
+  world.m_nodes[holder].m_paused = true;
   const TimePoint stopped_at = world.Now();
   ASSERT_TRUE(world.RunUntil(
       [&] { return world.HolderOf("catalogue") == 1 - holder; }));
@@ -31,25 +31,25 @@
 TEST(LeaseTest, AtMostOneHolderUnderOutagesPausesAndLostResponses) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     FakeWorld world(3);
-    world.Configure(OneService());
+    world.Configure(OneServiceConfiguration());
     std::mt19937_64 random(seed);
     for (int step = 0; step < 150; ++step) {
       world.m_store.m_down = random() % 4 == 0;
-      world.m_store.m_lose_next_answer = random() % 3 == 0;
+      world.m_store.m_lose_next_response = random() % 3 == 0;
       for (FakeNode& node : world.m_nodes) {
-        node.m_stopped = random() % 5 == 0;
+        node.m_paused = random() % 5 == 0;
       }
       world.RunFor(milliseconds(random() % 400));
-      ASSERT_LE(world.m_most_holders, 1U) << "seed " << seed;
+      ASSERT_LE(world.m_max_holders, 1U) << "seed " << seed;
     }
-    EXPECT_EQ(world.m_most_holders, 1U)
+    EXPECT_EQ(world.m_max_holders, 1U)
         << "no process ever held the lease, seed " << seed;
   }
 }
 
 TEST(LeaseTest, HolderKeepsLeaseThroughOutageWithPromises) {
   FakeWorld world(3);
-  world.Configure(OneService());
+  world.Configure(OneServiceConfiguration());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   world.RunFor(milliseconds(1000));
   const size_t holder = world.HolderOf("catalogue");
@@ -65,40 +65,40 @@
 
 TEST(LeaseTest, HolderStepsDownWithoutPromiseOfAStandby) {
   FakeWorld world(3);
-  world.Configure(OneService());
+  world.Configure(OneServiceConfiguration());
   ASSERT_TRUE(world.RunUntilHolder("catalogue"));
   world.RunFor(milliseconds(1000));
   const size_t holder = world.HolderOf("catalogue");
   world.m_store.m_down = true;
-  world.m_nodes[(holder + 1) % 3].m_stopped = true;
+  world.m_nodes[(holder + 1) % 3].m_paused = true;
   world.RunFor(milliseconds(2500));
-  EXPECT_EQ(world.HolderOf("catalogue"), FakeWorld::kNobody);
+  EXPECT_EQ(world.HolderOf("catalogue"), FakeWorld::kNoNode);
 }
 
 TEST(TokenTest, TokensOfAPredecessorCountAgainstTheBurst) {
   FakeWorld world(2);
-  Configuration configuration = OneService();
+  Configuration configuration = OneServiceConfiguration();
   configuration.m_workspaces = {{"club", 100, 40, 1, {"catalogue"}, {}}};
   world.Configure(configuration);
   ASSERT_TRUE(world.RunUntilHolder(kAccessCell));
   world.RunFor(milliseconds(1500));
   // The first holder issues as many tokens as it may: half of the burst.
   double first_holder_tokens =
-      world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+      world.RequestTokens(world.HolderOf(kAccessCell), "club", 100);
   EXPECT_EQ(first_holder_tokens, 20);
-  world.m_nodes[world.HolderOf(kAccessCell)].m_stopped = true;
+  world.m_nodes[world.HolderOf(kAccessCell)].m_paused = true;
   ASSERT_TRUE(world.RunUntil([&] {
     const size_t holder = world.HolderOf(kAccessCell);
-    return holder != FakeWorld::kNobody && !world.m_nodes[holder].m_stopped;
+    return holder != FakeWorld::kNoNode && !world.m_nodes[holder].m_paused;
   }));
   // The successor starts without stock, and never issues more than the
   // rest of the burst.
   const double initial_tokens =
-      world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+      world.RequestTokens(world.HolderOf(kAccessCell), "club", 100);
   EXPECT_LE(initial_tokens, 2);
   world.RunFor(milliseconds(600));
   const double later_tokens =
-      world.AskTokens(world.HolderOf(kAccessCell), "club", 100);
+      world.RequestTokens(world.HolderOf(kAccessCell), "club", 100);
   EXPECT_LE(initial_tokens + later_tokens, 20);
 }
 
@@ -141,7 +141,7 @@
 
 TEST(PlanTest, LeavingDataCentreReportsMovesAndReceivers) {
   PlanRecord plan;
-  plan.m_configuration = OneService();
+  plan.m_configuration = OneServiceConfiguration();
   AssignmentRecord assignment;
   for (PartitionNumber i = 0; i < 8; ++i) {
     assignment.m_owners.push_back(
@@ -158,12 +158,12 @@
 }
 
 TEST(PlanTest, PlanWithoutServingServerIsRejected) {
-  Configuration proposed = OneService();
+  Configuration proposed = OneServiceConfiguration();
   for (BackendServerConfig& server : proposed.m_services[0].m_servers) {
     server.m_state = ServingState::kLeaving;
   }
   std::vector<ValidationError> errors;
-  ValidateChange(OneService(), proposed, errors);
+  ValidateChange(OneServiceConfiguration(), proposed, errors);
   ASSERT_EQ(errors.size(), 1U);
   EXPECT_EQ(errors[0].m_path, "services.catalogue.servers");
 }
--- a/tests/integration/bad_input_test.cc
+++ b/tests/integration/bad_input_test.cc
@@ -3,12 +3,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
 
-constexpr const char* kHead =
+constexpr const char* kRequestHead =
     "POST /catalogue/order HTTP/1.1\r\nhost: a\r\n"
     "authorization: Bearer key-club-1\r\nx-partition-key: key-1\r\n";
 
@@ -21,7 +21,8 @@
     m_cluster->Start();
   }
 
-  // Sends bytes to an entry and returns all it answers until it closes.
+  // Sends bytes to an entry and returns all bytes received until the entry
+  // closes the connection.
   std::string SendRaw(const std::string& bytes) {
     const Address address = m_cluster->EntryAddress(0);
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -31,31 +32,34 @@
     target.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&target), sizeof(target)),
               0);
-    const timeval patience{20, 0};
-    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    const timeval timeout{20, 0};
+    setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     EXPECT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
-    std::string answer;
+    std::string response;
     char buffer[4096];
     ssize_t got = 0;
     while ((got = recv(fd, buffer, sizeof(buffer), 0)) > 0) {
-      answer.append(buffer, static_cast<size_t>(got));
+      response.append(buffer, static_cast<size_t>(got));
     }
     close(fd);
-    return answer;
+    return response;
   }
 
   std::unique_ptr<Cluster> m_cluster;
 };
 
-TEST_F(BadInputTest, AmbiguousOrBrokenRequestsAreRefusedAndDoNotRun) {
-  const std::string head = kHead;
-  const std::string inner = "0\r\n\r\n" + head + "content-length: 0\r\n\r\n";
+TEST_F(BadInputTest, AmbiguousOrMalformedRequestsAreRefusedAndDoNotRun) {
+  const std::string head = kRequestHead;
+  const std::string smuggled_request =
+      "0\r\n\r\n" + head + "content-length: 0\r\n\r\n";
   const std::vector<std::string> requests = {
-      head + "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n" + inner,
-      head + "transfer-encoding: chunked\r\ncontent-length: 4\r\n\r\n" + inner,
+      head + "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n" +
+          smuggled_request,
+      head + "transfer-encoding: chunked\r\ncontent-length: 4\r\n\r\n" +
+          smuggled_request,
       head + "content-length: 0\r\ncontent-length: 5\r\n\r\nhello",
-      head + "transfer-encoding: chunked, chunked\r\n\r\n" + inner,
+      head + "transfer-encoding: chunked, chunked\r\n\r\n" + smuggled_request,
       head + "authorization: Bearer other\r\ncontent-length: 0\r\n\r\n",
       head + "host: b\r\ncontent-length: 0\r\n\r\n",
       head + "content-length: -1\r\n\r\n",
@@ -65,22 +69,22 @@
       "\x16\x03\x01\x02\x01\x01\x01\xfc\x03\x03 not http\r\n\r\n",
   };
   for (const std::string& request : requests) {
-    const std::string answer = SendRaw(request);
-    const bool refused = answer.starts_with("HTTP/1.1 400") ||
-                         answer.starts_with("HTTP/1.1 413");
-    EXPECT_TRUE(refused) << request << "\n" << answer.substr(0, 300);
-    EXPECT_EQ(answer.find("HTTP/1.1", 1), std::string::npos) << request;
+    const std::string response = SendRaw(request);
+    const bool refused = response.starts_with("HTTP/1.1 400") ||
+                         response.starts_with("HTTP/1.1 413");
+    EXPECT_TRUE(refused) << request << "\n" << response.substr(0, 300);
+    EXPECT_EQ(response.find("HTTP/1.1", 1), std::string::npos) << request;
   }
   EXPECT_TRUE(m_cluster->ReadRecords().empty());
 }
 
-TEST_F(BadInputTest, SlowCallerIsCutAndOthersAreServed) {
-  EXPECT_EQ(SendRaw(std::string(kHead)), "");
+TEST_F(BadInputTest, SlowClientIsDisconnectedAndOthersAreServed) {
+  EXPECT_EQ(SendRaw(std::string(kRequestHead)), "");
   HttpClient client;
   EXPECT_EQ(SendRequest(*m_cluster, client, TestRequest()).m_status, 200);
 }
 
-TEST_F(BadInputTest, BrokenMessagesToTheControlProcessAreTyped) {
+TEST_F(BadInputTest, MalformedControlMessagesGetAResponse) {
   HttpClient client;
   for (const char* target : {"/sync", "/tokens", "/rpc"}) {
     for (const std::string& body :
@@ -98,7 +102,7 @@
   }
   EXPECT_TRUE(m_cluster->Control(0).IsRunning());
   EXPECT_TRUE(
-      Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
+      Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
 }
 
 }  // namespace
--- a/tests/integration/operations_test.cc
+++ b/tests/integration/operations_test.cc
@@ -6,7 +6,7 @@
 
 #include "core/json.h"
 #include "runtime/fiber_scheduler.h"
-#include "support/load.h"
+#include "support/load_generator.h"
 
 namespace foxtail {
 namespace {
@@ -14,11 +14,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kNoNewWorkAfter{3000};
-constexpr milliseconds kKeyDeadAfter{3000};
-constexpr milliseconds kInForceAfter{6000};
-constexpr milliseconds kPatientDeadline{5000};
-constexpr seconds kPatience{30};
+constexpr milliseconds kNoNewRequestsAfter{3000};
+constexpr milliseconds kKeyRejectedAfter{3000};
+constexpr milliseconds kMaxActivationTime{6000};
+constexpr milliseconds kLongDeadline{5000};
+constexpr seconds kTimeout{30};
 
 int64_t MicrosecondsOf(TimePoint time) {
   return std::chrono::duration_cast<std::chrono::microseconds>(
@@ -29,50 +29,50 @@
 class OperationsTest : public testing::Test {
  protected:
   void Start(ClusterSettings settings = ClusterSettings()) {
-    // Long enough that a pause of the machine refuses nothing.
+    // Long enough that a stall of the machine causes no refusals.
     if (settings.m_services[0].m_max_deadline == TestService().m_max_deadline) {
-      settings.m_services[0].m_max_deadline = kPatientDeadline;
+      settings.m_services[0].m_max_deadline = kLongDeadline;
     }
     m_cluster = std::make_unique<Cluster>(settings);
     m_cluster->Start();
   }
 
-  // The servers receive nothing more; from the stated time on where times are
-  // checked.
-  void ExpectNoNewWork(const std::vector<std::string>& servers,
-                       TimePoint confirmed) {
+  // Expects that the servers eventually receive no requests; if time limits are
+  // enforced, none later than kNoNewRequestsAfter after `confirmed`.
+  void ExpectNoNewRequests(const std::vector<std::string>& servers,
+                           TimePoint confirmed) {
     EXPECT_TRUE(Cluster::Eventually(
         [&] {
           const TimePoint now = Clock::now();
           boost::this_fiber::sleep_for(seconds(1));
           return CountBegins(servers, now) == 0;
         },
-        kPatience));
-    if (Cluster::ChecksTimes()) {
-      EXPECT_EQ(CountBegins(servers, confirmed + kNoNewWorkAfter), 0U);
+        kTimeout));
+    if (Cluster::EnforcesTimeLimits()) {
+      EXPECT_EQ(CountBegins(servers, confirmed + kNoNewRequestsAfter), 0U);
     }
   }
 
-  // Returns how many requests began at the servers after `time`.
+  // Returns the number of requests that began at the servers after `time`.
   size_t CountBegins(const std::vector<std::string>& servers, TimePoint time) {
     size_t count = 0;
     for (const RunRecord& record : m_cluster->ReadRecords()) {
-      count += record.m_what == "begin" &&
+      count += record.m_event == "begin" &&
                record.m_time_us > MicrosecondsOf(time) &&
                std::ranges::count(servers, record.m_server) > 0;
     }
     return count;
   }
 
-  void ExpectTrueAnswers(const Load& load) {
+  void ExpectConsistentResponses(const LoadGenerator& load) {
     const auto records = m_cluster->ReadRecords();
-    EXPECT_EQ(FindTwoOwners(records), "");
-    EXPECT_EQ(FindFalseAnswer(records, load.GetAnswers()), "");
-    EXPECT_EQ(FindMismatch(load.GetAnswers()), "");
+    EXPECT_EQ(FindConcurrentOwners(records), "");
+    EXPECT_EQ(FindFalseResponse(records, load.GetResponses()), "");
+    EXPECT_EQ(FindMismatchedResponse(load.GetResponses()), "");
   }
 
-  static size_t CountFailures(const Load& load) {
-    return load.GetAnswers().size() - load.CountStatus(200);
+  static size_t CountFailures(const LoadGenerator& load) {
+    return load.GetResponses().size() - load.CountStatus(200);
   }
 
   std::unique_ptr<Cluster> m_cluster;
@@ -81,24 +81,24 @@
 
 TEST_F(OperationsTest, DataCentreLeavesAndReturns) {
   Start();
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   const TimePoint confirmed = Clock::now();
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "data_centre"}, {"name", "dc-2"}, {"state", "leaving"}});
   boost::this_fiber::sleep_for(seconds(4));
-  ExpectNoNewWork({"catalogue-2", "catalogue-4"}, confirmed);
+  ExpectNoNewRequests({"catalogue-2", "catalogue-4"}, confirmed);
   const TimePoint returned = Clock::now();
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "data_centre"}, {"name", "dc-2"}, {"state", "serving"}});
   EXPECT_TRUE(Cluster::Eventually([&] {
     return CountBegins({"catalogue-2", "catalogue-4"}, returned) > 10;
   }));
   load.Stop();
-  // Planned moves refuse nothing.
+  // Planned moves cause no refusals.
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
 class DrainTest : public OperationsTest,
@@ -108,35 +108,37 @@
   ClusterSettings settings;
   settings.m_services[0].m_checks_fence = GetParam();
   settings.m_services[0].m_service_time = milliseconds(40);
-  // Servers without a fence are not moved from for a while after a takeover.
+  // For a time after a takeover, partitions are not moved away from servers
+  // that don't check fencing epochs.
   settings.m_services[0].m_max_deadline = milliseconds(1500);
   Start(settings);
-  // Few keys, so that each always has requests running and waiting.
+  // With few keys, each key always has requests running and waiting.
   LoadSettings load_settings;
   load_settings.m_fibers = 16;
   load_settings.m_keys = 4;
-  load_settings.m_pause = milliseconds(0);
-  Json::Value where;
-  where["service"] = "catalogue";
-  where["key"] = "key-1";
+  load_settings.m_request_delay = milliseconds(0);
+  Json::Value explain_parameters;
+  explain_parameters["service"] = "catalogue";
+  explain_parameters["key"] = "key-1";
   const std::string owner =
-      m_cluster->Rpc("explain", where)["owner"].asString();
-  Load load(*m_cluster, load_settings);
+      m_cluster->Rpc("explain", explain_parameters)["owner"].asString();
+  LoadGenerator load(*m_cluster, load_settings);
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   const TimePoint confirmed = Clock::now();
-  m_cluster->Change({{"kind", "server"},
-                     {"service", "catalogue"},
-                     {"name", owner},
-                     {"state", "leaving"}});
+  m_cluster->ConfirmChange({{"kind", "server"},
+                            {"service", "catalogue"},
+                            {"name", owner},
+                            {"state", "leaving"}});
   boost::this_fiber::sleep_for(seconds(4));
-  ExpectNoNewWork({owner}, confirmed);
+  ExpectNoNewRequests({owner}, confirmed);
   load.Stop();
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
-// Without a fence only the dispatcher's letting go keeps two owners apart.
+// If the server doesn't check fencing epochs, only the release by the
+// dispatcher prevents two concurrent owners.
 INSTANTIATE_TEST_SUITE_P(Fence,
                          DrainTest,
                          testing::Bool(),
@@ -144,15 +146,16 @@
                            return param_info.param ? "Checked" : "Unchecked";
                          });
 
-TEST_F(OperationsTest, PlannedStopOfAnEntryCutsNothing) {
+TEST_F(OperationsTest, EntryShutdownFailsNoRequest) {
   ClusterSettings settings;
   settings.m_services[0].m_service_time = milliseconds(20);
   Start(settings);
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   m_cluster->Entry(1).Signal(SIGTERM);
-  // The balancer looks away as soon as the health check fails.
+  // The load balancer stops sending to an entry as soon as the health check
+  // fails.
   HttpRequest health;
   health.m_target = "/health";
   EXPECT_TRUE(Cluster::Eventually([&] {
@@ -160,17 +163,17 @@
         m_cluster->EntryAddress(1), health, Clock::now() + seconds(1));
     return result.m_response.m_status == 503;
   }));
-  load.Avoid(1);
+  load.StopSendingTo(1);
   EXPECT_EQ(m_cluster->Entry(1).Wait(), 0);
   boost::this_fiber::sleep_for(seconds(1));
   load.Stop();
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
-TEST_F(OperationsTest, PlannedStopOfAControllerCutsNothing) {
+TEST_F(OperationsTest, ControllerShutdownFailsNoRequest) {
   Start();
-  Load load(*m_cluster, LoadSettings());
+  LoadGenerator load(*m_cluster, LoadSettings());
   load.Start();
   boost::this_fiber::sleep_for(milliseconds(500));
   const auto holder = static_cast<uint32_t>(m_cluster->HolderOf("catalogue"));
@@ -180,19 +183,19 @@
   boost::this_fiber::sleep_for(seconds(2));
   load.Stop();
   EXPECT_EQ(CountFailures(load), 0U) << load.DescribeFailures();
-  ExpectTrueAnswers(load);
+  ExpectConsistentResponses(load);
 }
 
-TEST_F(OperationsTest, WithdrawnKeyStopsOnOpenConnections) {
+TEST_F(OperationsTest, WithdrawnKeyIsRefusedOnOpenConnections) {
   ClusterSettings settings;
-  settings.m_links = true;
+  settings.m_with_fault_proxy = true;
   Start(settings);
   TestRequest request;
   ASSERT_EQ(SendRequest(*m_cluster, m_client, request).m_status, 200);
-  // One entry hears nothing any more.
-  m_cluster->CutEntryLinks(2, "freeze");
+  // Entry 2 no longer receives anything from the control processes.
+  m_cluster->SetEntryLinkFaults(2, "freeze");
   const TimePoint confirmed = Clock::now();
-  m_cluster->Change(
+  m_cluster->ConfirmChange(
       {{"kind", "key_withdraw"}, {"workspace", "club-1"}, {"name", "first"}});
   std::map<uint32_t, TimePoint> last_success;
   while (Clock::now() < confirmed + seconds(4)) {
@@ -207,30 +210,30 @@
   for (uint32_t host = 0; host < 3; ++host) {
     request.m_host = host;
     EXPECT_NE(SendRequest(*m_cluster, m_client, request).m_status, 200);
-    if (Cluster::ChecksTimes()) {
-      EXPECT_LE(last_success[host] - confirmed, kKeyDeadAfter) << host;
+    if (Cluster::EnforcesTimeLimits()) {
+      EXPECT_LE(last_success[host] - confirmed, kKeyRejectedAfter) << host;
     }
   }
-  // The cut entry does not even judge keys any more.
+  // The disconnected entry no longer decides whether API keys are valid.
   request.m_host = 2;
   request.m_workspace = "nobody";
   EXPECT_EQ(SendRequest(*m_cluster, m_client, request).m_error, "access_stale");
 }
 
-TEST_F(OperationsTest, OperatorsRaceAndTheLoserSeesWhatChanged) {
+TEST_F(OperationsTest, StalePlanIsRefusedWithTheConflictingChange) {
   Start();
-  const std::string first = m_cluster->Propose({{"kind", "server"},
-                                                {"service", "catalogue"},
-                                                {"name", "catalogue-1"},
-                                                {"state", "leaving"}});
-  const std::string second = m_cluster->Propose(
+  const std::string first = m_cluster->ProposeChange({{"kind", "server"},
+                                                      {"service", "catalogue"},
+                                                      {"name", "catalogue-1"},
+                                                      {"state", "leaving"}});
+  const std::string second = m_cluster->ProposeChange(
       {{"kind", "data_centre"}, {"name", "dc-2"}, {"state", "leaving"}});
   Json::Value parameters;
   parameters["plan"] = first;
   const auto version =
       m_cluster->Rpc("confirm", parameters)["version"].asUInt64();
   EXPECT_EQ(version, 2U);
-  // To confirm again is safe and tells the same version.
+  // Confirming again is safe and returns the same version.
   EXPECT_EQ(m_cluster->Rpc("confirm", parameters)["version"].asUInt64(), 2U);
   parameters["plan"] = second;
   try {
@@ -244,14 +247,15 @@
   }
 }
 
-TEST_F(OperationsTest, RacingConfirmationsHaveOneWinner) {
+TEST_F(OperationsTest, OnlyOneConcurrentConfirmationSucceeds) {
   Start();
   std::vector<std::string> plans;
   for (int i = 0; i < 6; ++i) {
-    plans.push_back(m_cluster->Propose({{"kind", "key_grant"},
-                                        {"workspace", "club-1"},
-                                        {"name", "key" + std::to_string(i)},
-                                        {"digest", std::string(64, 'a')}}));
+    plans.push_back(
+        m_cluster->ProposeChange({{"kind", "key_grant"},
+                                  {"workspace", "club-1"},
+                                  {"name", "key" + std::to_string(i)},
+                                  {"digest", std::string(64, 'a')}}));
   }
   int confirmed = 0;
   int finished = 0;
@@ -277,27 +281,27 @@
   std::map<std::string, uint64_t> highest;
   bool went_back = false;
   bool watching = true;
-  bool ended = false;
+  bool watching_ended = false;
   StartFiber([&] {
     while (watching) {
       const Json::Value status = m_cluster->StatusOf("catalogue");
       for (const Json::Value& entry : status["dispatchers"]) {
-        uint64_t& known = highest[entry["address"].asString()];
+        uint64_t& highest_seen = highest[entry["address"].asString()];
         const uint64_t now = entry["configuration"].asUInt64();
-        // 0 is an entry that has not acted on any version yet.
-        went_back = went_back || (now != 0 && now < known);
-        known = std::max(known, now);
+        // 0 means that the entry has not applied any version yet.
+        went_back = went_back || (now != 0 && now < highest_seen);
+        highest_seen = std::max(highest_seen, now);
       }
       boost::this_fiber::sleep_for(milliseconds(20));
     }
-    ended = true;
+    watching_ended = true;
   });
   for (int i = 0; i < 3; ++i) {
-    const uint64_t version =
-        m_cluster->Change({{"kind", "server"},
-                           {"service", "catalogue"},
-                           {"name", "catalogue-3"},
-                           {"state", i % 2 == 0 ? "leaving" : "serving"}});
+    const uint64_t version = m_cluster->ConfirmChange(
+        {{"kind", "server"},
+         {"service", "catalogue"},
+         {"name", "catalogue-3"},
+         {"state", i % 2 == 0 ? "leaving" : "serving"}});
     if (i == 1) {
       const auto holder =
           static_cast<uint32_t>(m_cluster->HolderOf("catalogue"));
@@ -316,23 +320,23 @@
                               entry["heard_ms_ago"].asInt64() > 1000;
                      });
         },
-        Cluster::ChecksTimes() ? Duration(kInForceAfter)
-                               : Duration(kPatience)));
+        Cluster::EnforcesTimeLimits() ? Duration(kMaxActivationTime)
+                                      : Duration(kTimeout)));
   }
   watching = false;
-  Cluster::Eventually([&] { return ended; });
+  Cluster::Eventually([&] { return watching_ended; });
   EXPECT_FALSE(went_back);
 }
 
 TEST_F(OperationsTest, FinishedAssignmentSurvivesTheLossOfAllControllers) {
   Start();
-  m_cluster->Change({{"kind", "server"},
-                     {"service", "catalogue"},
-                     {"name", "catalogue-1"},
-                     {"state", "leaving"}});
+  m_cluster->ConfirmChange({{"kind", "server"},
+                            {"service", "catalogue"},
+                            {"name", "catalogue-1"},
+                            {"state", "leaving"}});
   ASSERT_TRUE(Cluster::Eventually([&] {
     const Json::Value status = m_cluster->StatusOf("catalogue");
-    return m_cluster->IsSettled("catalogue") &&
+    return m_cluster->IsStable("catalogue") &&
            std::ranges::none_of(status["partitions"], [](const auto& row) {
              return row["owner"].asString() == "catalogue-1";
            });
@@ -354,7 +358,8 @@
   for (uint32_t host = 0; host < 3; ++host) {
     m_cluster->StartControl(host);
   }
-  // All that the lease names are gone: the operator's word frees the cells.
+  // All processes named in the leases are gone, so the operator has to release
+  // the cells.
   EXPECT_TRUE(Cluster::Eventually([&] {
     try {
       for (const char* cell : {"access", "catalogue"}) {
@@ -368,9 +373,9 @@
     }
   }));
   ASSERT_TRUE(
-      Cluster::Eventually([&] { return m_cluster->IsSettled("catalogue"); }));
-  // The new controllers may move partitions on, under later epochs; nothing
-  // that was recorded may be undone.
+      Cluster::Eventually([&] { return m_cluster->IsStable("catalogue"); }));
+  // The new controllers may move partitions again under later epochs, but must
+  // not undo a recorded assignment.
   const auto after = owners();
   ASSERT_EQ(after.size(), before.size());
   for (const auto& [number, owner] : before) {
--- a/tests/soak/soak_clients.h
+++ b/tests/soak/soak_clients.h
@@ -10,8 +10,8 @@
 
 namespace foxtail {
 
-/// Clients that send one request after another to the gateways, on open
-/// connections for as long as these last.
+/// Clients that send one request after another to the gateways, and reuse their
+/// connections as long as possible.
 class SoakClients {
  public:
   SoakClients(const SoakWorld& world, size_t clients);
@@ -19,13 +19,14 @@
   /// Starts the clients; each is a fiber of the calling thread.
   void Start();
 
-  /// Ends them and waits for their last answers.
+  /// Stops the clients and waits for their last responses.
   void Stop();
 
-  const std::vector<SoakOutcome>& GetOutcomes() const { return m_outcomes; }
+  const std::vector<SoakExchange>& GetExchanges() const { return m_exchanges; }
 
-  /// Returns the part of the newest `count` requests that were served.
-  double ServedPart(size_t count) const;
+  /// Returns the fraction of the latest `count` requests that were served; 0 if
+  /// there are fewer requests.
+  double ServedFraction(size_t count) const;
 
  private:
   void Run(size_t client);
@@ -33,10 +34,10 @@
 
   const SoakWorld& m_world;
   size_t m_clients;
-  size_t m_running = 0;
+  size_t m_running_clients = 0;
   bool m_stopping = false;
-  uint64_t m_next = 0;
-  std::vector<SoakOutcome> m_outcomes;
+  uint64_t m_last_request_number = 0;
+  std::vector<SoakExchange> m_exchanges;
 };
 
 }  // namespace foxtail
--- a/tests/soak/soak_world.cc
+++ b/tests/soak/soak_world.cc
@@ -17,17 +17,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The platform kills a process that has not ended by then (`grace_s`).
-constexpr seconds kStopBound{6};
+// The platform kills a process that has not ended within this time after
+// SIGTERM (`grace_s`).
+constexpr seconds kStopTimeout{6};
 
-constexpr milliseconds kShortestFault{200};
-constexpr int kFaultSpread = 2500;  // milliseconds
-constexpr milliseconds kWriteRetry{20};
+constexpr milliseconds kMinFaultDuration{200};
+constexpr int kFaultDurationSpread = 2500;  // milliseconds
+constexpr milliseconds kWriteRetryDelay{20};
 
-// A process that ends this soon after its start may not have begun yet.
-constexpr seconds kStartTime{1};
+// A process that ends within this time after its start may not have reached its
+// signal handling yet.
+constexpr seconds kMinUptime{1};
 
-Address Local(uint16_t port) {
+Address LoopbackAddress(uint16_t port) {
   return {"127.0.0.1", port};
 }
 
@@ -35,7 +37,7 @@
   return "i-" + std::to_string(server);
 }
 
-std::string DataCentre(size_t number) {
+std::string DataCentreName(size_t number) {
   return "dc-" + std::to_string(number % 2);
 }
 
@@ -45,18 +47,18 @@
   static constexpr FaultKind kKinds[] = {
       {"kill gateway", &SoakWorld::KillGateway, false},
       {"pause gateway", &SoakWorld::PauseGateway, false},
-      {"stop gateway", &SoakWorld::StopGateway, false},
-      {"hang up gateway", &SoakWorld::HangUpGateway, false},
+      {"stop gateway", &SoakWorld::ShutDownGateway, false},
+      {"hang up gateway", &SoakWorld::SendHangUp, false},
       {"cut store link", &SoakWorld::CutStoreLink, false},
       {"freeze store link", &SoakWorld::FreezeStoreLink, false},
-      {"lose store answers", &SoakWorld::LoseStoreAnswers, false},
+      {"lose store answers", &SoakWorld::LoseStoreResponses, false},
       {"slow store link", &SoakWorld::SlowStoreLink, false},
       {"store outage", &SoakWorld::StoreOutage, false},
       {"kill server", &SoakWorld::KillServer, true},
       {"pause server", &SoakWorld::PauseServer, true},
       {"cut server link", &SoakWorld::CutServerLink, true},
       {"freeze server link", &SoakWorld::FreezeServerLink, true},
-      {"lose server answers", &SoakWorld::LoseServerAnswers, true},
+      {"lose server answers", &SoakWorld::LoseServerResponses, true},
       {"drain server", &SoakWorld::DrainServer, true},
       {"change configuration", &SoakWorld::ChangeConfiguration, false},
       {"withdraw API key", &SoakWorld::WithdrawApiKey, false},
@@ -75,37 +77,47 @@
       m_proxy_port(NextPort()),
       m_gateways(settings.m_gateways),
       m_servers(settings.m_servers),
-      m_store(Local(m_store_port)) {
+      m_store(LoopbackAddress(m_store_port)) {
   std::filesystem::create_directories(RecordFolder());
   m_platform = std::make_unique<Process>(
       "standin-platform",
-      std::vector<std::string>{"--listen", Local(m_store_port).ToString()},
+      std::vector<std::string>{"--listen",
+                               LoopbackAddress(m_store_port).ToString()},
       m_folder + "/platform.log");
   std::string links;
   for (size_t i = 0; i < m_gateways.size(); ++i) {
-    const Address link = Local(NextPort());
-    links +=
-        fmt::format("{}={},", link.ToString(), Local(m_store_port).ToString());
+    const Address link = LoopbackAddress(NextPort());
+    links += fmt::format("{}={},", link.ToString(),
+                         LoopbackAddress(m_store_port).ToString());
     m_gateways[i].m_client_port = NextPort();
     m_gateways[i].m_arguments = {
-        "--listen",      Local(m_gateways[i].m_client_port).ToString(),
-        "--ready",       Local(NextPort()).ToString(),
-        "--internal",    Local(NextPort()).ToString(),
-        "--metrics",     Local(NextPort()).ToString(),
-        "--store",       link.ToString(),
-        "--data-centre", DataCentre(i),
-        "--stop-delay",  "1000"};
+        "--listen",
+        LoopbackAddress(m_gateways[i].m_client_port).ToString(),
+        "--ready",
+        LoopbackAddress(NextPort()).ToString(),
+        "--internal",
+        LoopbackAddress(NextPort()).ToString(),
+        "--metrics",
+        LoopbackAddress(NextPort()).ToString(),
+        "--store",
+        link.ToString(),
+        "--data-centre",
+        DataCentreName(i),
+        "--stop-delay",
+        "1000"};
   }
   for (Server& server : m_servers) {
     server.m_port = NextPort();
     server.m_link_port = NextPort();
-    links += fmt::format("{}={},", Local(server.m_link_port).ToString(),
-                         Local(server.m_port).ToString());
+    links +=
+        fmt::format("{}={},", LoopbackAddress(server.m_link_port).ToString(),
+                    LoopbackAddress(server.m_port).ToString());
   }
   links.pop_back();
   m_proxy = std::make_unique<Process>(
       "standin-proxy",
-      std::vector<std::string>{"--listen", Local(m_proxy_port).ToString(),
+      std::vector<std::string>{"--listen",
+                               LoopbackAddress(m_proxy_port).ToString(),
                                "--links", links},
       m_folder + "/proxy.log");
   WriteConfiguration();
@@ -126,10 +138,10 @@
 }
 
 Address SoakWorld::GatewayAddress(size_t gateway) const {
-  return Local(m_gateways[gateway].m_client_port);
+  return LoopbackAddress(m_gateways[gateway].m_client_port);
 }
 
-size_t SoakWorld::Below(size_t limit) {
+size_t SoakWorld::RandomBelow(size_t limit) {
   return m_random() % limit;
 }
 
@@ -138,22 +150,24 @@
   row.m_process = std::make_unique<Process>(
       "foxtail-gateway", row.m_arguments,
       fmt::format("{}/gateway-{}.log", m_folder, gateway));
-  row.m_disturbed = false;
-  row.m_stopping = false;
+  row.m_was_paused = false;
+  row.m_shutting_down = false;
   row.m_killed = false;
-  row.m_started = Clock::now();
+  row.m_started_at = Clock::now();
 }
 
-// As the platform does. A hang-up signal that arrives before the program has
-// begun ends it, which no program can prevent.
-void SoakWorld::StartEnded() {
+// Restarts gateways as the platform does. A SIGHUP that arrives before the
+// program has begun ends the process, which no program can prevent; such an end
+// is not a failure.
+void SoakWorld::RestartEndedGateways() {
   for (size_t i = 0; i < m_gateways.size(); ++i) {
     const Gateway& row = m_gateways[i];
-    if (row.m_killed || row.m_stopping || row.m_process->IsRunning()) {
+    if (row.m_killed || row.m_shutting_down || row.m_process->IsRunning()) {
       continue;
     }
-    if (Clock::now() - row.m_started > kStartTime) {
-      m_bad_stops.push_back(fmt::format("gateway {} ended by itself", i));
+    if (Clock::now() - row.m_started_at > kMinUptime) {
+      m_process_failures.push_back(
+          fmt::format("gateway {} ended by itself", i));
     }
     StartGateway(i);
   }
@@ -161,12 +175,12 @@
 
 void SoakWorld::StartServer(size_t server) {
   Server& row = m_servers[server];
-  ++row.m_born;
+  ++row.m_incarnation;
   row.m_process = std::make_unique<Process>(
       "soak-server",
       std::vector<std::string>{
-          Local(row.m_port).ToString(), ServerId(server),
-          fmt::format("{}/{}-{}", RecordFolder(), server, row.m_born)},
+          LoopbackAddress(row.m_port).ToString(), ServerId(server),
+          fmt::format("{}/{}-{}", RecordFolder(), server, row.m_incarnation)},
       fmt::format("{}/server-{}.log", m_folder, server));
   RegisterServer(server);
 }
@@ -174,12 +188,14 @@
 void SoakWorld::RegisterServer(size_t server) {
   const Server& row = m_servers[server];
   const bool sharded = server + 2 < m_servers.size();
-  Put("servers", ServerId(server),
+  WriteStoreRow(
+      "servers", ServerId(server),
       fmt::format(R"({{"address":"{}","born":{},"info":{{"service":"{}",)"
                   R"("zone":"{}","slots":4}},"status":{{"state":"{}",)"
                   R"("warmup_left_s":0}}}})",
-                  Local(row.m_link_port).ToString(), row.m_born,
-                  sharded ? "keyed" : "open", DataCentre(server),
+                  LoopbackAddress(row.m_link_port).ToString(),
+                  row.m_incarnation, sharded ? "keyed" : "open",
+                  DataCentreName(server),
                   row.m_draining ? "draining" : "ready"));
 }
 
@@ -196,7 +212,8 @@
         R"("priority":1,"service":"{2}","max_attempts":2}})",
         name, type, service);
   };
-  Put("op", "config",
+  WriteStoreRow(
+      "op", "config",
       fmt::format(
           R"({{"version":"{:08x}","routes":[{},{},{}],"services":[)"
           R"({{"name":"keyed","max_conns":120,"sharded":true}},)"
@@ -207,10 +224,10 @@
           keys));
 }
 
-// The operators' way to the store is not disturbed.
-void SoakWorld::Put(const std::string& table,
-                    const std::string& key,
-                    const std::optional<std::string>& value) {
+// Operators reach the store directly, without injected faults.
+void SoakWorld::WriteStoreRow(const std::string& table,
+                              const std::string& key,
+                              const std::optional<std::string>& value) {
   while (true) {
     const RowsResult row = m_store.Read(table, key, seconds(1));
     const uint64_t version =
@@ -221,7 +238,7 @@
              StoreOutcome::kDone)) {
       return;
     }
-    boost::this_fiber::sleep_for(kWriteRetry);
+    boost::this_fiber::sleep_for(kWriteRetryDelay);
   }
 }
 
@@ -231,17 +248,17 @@
   request.m_target = "/links/" + std::to_string(link);
   request.m_body =
       fmt::format(R"({{"fault":"{}","delay_ms":{}}})", fault, delay_ms);
-  m_client.Call(Local(m_proxy_port), request, seconds(2));
+  m_client.Call(LoopbackAddress(m_proxy_port), request, seconds(2));
 }
 
 void SoakWorld::HealLater(Duration time,
                           std::function<void()> heal,
-                          bool fixed) {
-  m_healings.push_back({Clock::now() + time, std::move(heal), fixed});
+                          bool fixed_time) {
+  m_healings.push_back({Clock::now() + time, std::move(heal), fixed_time});
 }
 
-void SoakWorld::HealDue() {
-  StartEnded();
+void SoakWorld::HealDueFaults() {
+  RestartEndedGateways();
   for (size_t i = 0; i < m_healings.size();) {
     if (Clock::now() < m_healings[i].m_at) {
       ++i;
@@ -255,19 +272,20 @@
 
 void SoakWorld::HealAll() {
   for (Healing& healing : m_healings) {
-    healing.m_at = healing.m_fixed ? healing.m_at : TimePoint();
+    healing.m_at = healing.m_fixed_time ? healing.m_at : TimePoint();
   }
-  HealDue();
+  HealDueFaults();
 }
 
 void SoakWorld::InjectFault() {
-  const FaultKind& kind = FaultKinds()[Below(FaultKinds().size())];
-  const size_t subject =
-      Below(kind.m_on_server ? m_servers.size() : m_gateways.size());
-  const Duration time = kShortestFault + milliseconds(Below(kFaultSpread));
-  m_history += fmt::format("{} {} for {} ms\n", kind.m_name, subject,
+  const FaultKind& kind = FaultKinds()[RandomBelow(FaultKinds().size())];
+  const size_t target =
+      RandomBelow(kind.m_on_server ? m_servers.size() : m_gateways.size());
+  const Duration time =
+      kMinFaultDuration + milliseconds(RandomBelow(kFaultDurationSpread));
+  m_history += fmt::format("{} {} for {} ms\n", kind.m_name, target,
                            ToSeconds(time) * 1000);
-  (this->*kind.m_inject)(subject, time);
+  (this->*kind.m_inject)(target, time);
 }
 
 void SoakWorld::KillGateway(size_t gateway, Duration time) {
@@ -281,37 +299,38 @@
 }
 
 void SoakWorld::PauseGateway(size_t gateway, Duration time) {
-  if (m_gateways[gateway].m_stopping) {
+  if (m_gateways[gateway].m_shutting_down) {
     return;
   }
-  m_gateways[gateway].m_disturbed = true;
+  m_gateways[gateway].m_was_paused = true;
   m_gateways[gateway].m_process->Signal(SIGSTOP);
   HealLater(time, [this, gateway] {
     m_gateways[gateway].m_process->Signal(SIGCONT);
   });
 }
 
-void SoakWorld::StopGateway(size_t gateway, Duration time) {
+void SoakWorld::ShutDownGateway(size_t gateway, Duration time) {
   Gateway& row = m_gateways[gateway];
-  if (!row.m_process->IsRunning() || row.m_disturbed || row.m_stopping) {
+  if (!row.m_process->IsRunning() || row.m_was_paused || row.m_shutting_down) {
     return;
   }
-  row.m_stopping = true;
+  row.m_shutting_down = true;
   row.m_process->Signal(SIGTERM);
   const auto restart = [this, gateway] {
     Gateway& stopped = m_gateways[gateway];
-    if (stopped.m_stopping && stopped.m_process->IsRunning()) {
-      m_bad_stops.push_back(fmt::format("gateway {} did not end", gateway));
+    if (stopped.m_shutting_down && stopped.m_process->IsRunning()) {
+      m_process_failures.push_back(
+          fmt::format("gateway {} did not end", gateway));
       stopped.m_process->Kill();
     }
     if (!stopped.m_process->IsRunning()) {
       StartGateway(gateway);
     }
   };
-  HealLater(std::max<Duration>(time, kStopBound), restart, true);
+  HealLater(std::max<Duration>(time, kStopTimeout), restart, true);
 }
 
-void SoakWorld::HangUpGateway(size_t gateway, Duration) {
+void SoakWorld::SendHangUp(size_t gateway, Duration) {
   m_gateways[gateway].m_process->Signal(SIGHUP);
 }
 
@@ -325,7 +344,7 @@
   HealLater(time, [this, gateway] { SetLink(gateway, "none"); });
 }
 
-void SoakWorld::LoseStoreAnswers(size_t gateway, Duration time) {
+void SoakWorld::LoseStoreResponses(size_t gateway, Duration time) {
   SetLink(gateway, "lose_answers");
   HealLater(time, [this, gateway] { SetLink(gateway, "none"); });
 }
@@ -368,7 +387,7 @@
   HealLater(time, [this, link] { SetLink(link, "none"); });
 }
 
-void SoakWorld::LoseServerAnswers(size_t server, Duration time) {
+void SoakWorld::LoseServerResponses(size_t server, Duration time) {
   const size_t link = m_gateways.size() + server;
   SetLink(link, "lose_answers");
   HealLater(time, [this, link] { SetLink(link, "none"); });
@@ -399,9 +418,9 @@
 }
 
 void SoakWorld::Evacuate(size_t server, Duration time) {
-  const std::string row = "evacuate/" + DataCentre(server);
-  Put("op", row, "{}");
-  HealLater(time, [this, row] { Put("op", row, std::nullopt); });
+  const std::string row = "evacuate/" + DataCentreName(server);
+  WriteStoreRow("op", row, "{}");
+  HealLater(time, [this, row] { WriteStoreRow("op", row, std::nullopt); });
 }
 
 }  // namespace foxtail
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -23,13 +23,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr const char* kSecret = "test-cluster-secret";
-constexpr milliseconds kPoll{10};
+constexpr const char* kClusterSecret = "test-cluster-secret";
+constexpr milliseconds kPollInterval{10};
 constexpr uint16_t kFirstPort = 20000;
 constexpr uint16_t kPortCount = 10000;
-constexpr uint16_t kSlicePorts = 1000;
+constexpr uint16_t kPortsPerRange = 1000;
 
-bool IsFree(uint16_t port, int type) {
+bool IsPortFree(uint16_t port, int type) {
   const int fd = socket(AF_INET, type, 0);
   sockaddr_in address = {};
   address.sin_family = AF_INET;
@@ -41,25 +41,26 @@
   return free;
 }
 
-// Takes the ports of one slice for the life of this process: a port that is
-// free only while its process is being restarted must not go to another test.
-// With more test processes than slices, they share.
-uint32_t TakePortSlice() {
-  const uint32_t slices = kPortCount / kSlicePorts;
-  for (uint32_t slice = 0; slice < slices; ++slice) {
+// Reserves a range of ports for the lifetime of this process, by a file lock.
+// Otherwise a port that is free only while its process restarts could be given
+// to another test. When there are more test processes than ranges, some share a
+// range.
+uint32_t ReservePortRange() {
+  const uint32_t ranges = kPortCount / kPortsPerRange;
+  for (uint32_t range = 0; range < ranges; ++range) {
     const std::string lock = (std::filesystem::temp_directory_path() /
-                              ("foxtail-ports-" + std::to_string(slice)))
+                              ("foxtail-ports-" + std::to_string(range)))
                                  .string();
     const int fd = open(lock.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0666);
     if (fd >= 0 && flock(fd, LOCK_EX | LOCK_NB) == 0) {
-      return kFirstPort + slice * kSlicePorts;
+      return kFirstPort + range * kPortsPerRange;
     }
     close(fd);
   }
-  return kFirstPort + getpid() % slices * kSlicePorts;
+  return kFirstPort + getpid() % ranges * kPortsPerRange;
 }
 
-std::string Local(uint16_t port) {
+std::string LoopbackAddress(uint16_t port) {
   return "127.0.0.1:" + std::to_string(port);
 }
 
@@ -70,15 +71,15 @@
   return text.str();
 }
 
-Json::Value RoutesOf() {
+Json::Value RoutesJson() {
   Json::Value routes(Json::arrayValue);
-  for (const auto& [method, path, repeatable] :
+  for (const auto& [method, path, idempotent] :
        {std::tuple("GET", "/read", true), std::tuple("POST", "/read", true),
         std::tuple("POST", "/order", false)}) {
     Json::Value route;
     route["method"] = method;
     route["path"] = path;
-    route["repeatable"] = repeatable;
+    route["repeatable"] = idempotent;
     routes.append(route);
   }
   return routes;
@@ -86,13 +87,14 @@
 
 }  // namespace
 
-// Ports below the range from which outgoing connections take theirs.
+// The ports lie below the ephemeral range, so that no outgoing connection
+// occupies one of them.
 uint16_t NextPort() {
-  static const uint32_t first = TakePortSlice();
+  static const uint32_t first = ReservePortRange();
   static uint32_t next = 0;
   while (true) {
-    const auto port = static_cast<uint16_t>(first + (next++ % kSlicePorts));
-    if (IsFree(port, SOCK_STREAM) && IsFree(port, SOCK_DGRAM)) {
+    const auto port = static_cast<uint16_t>(first + (next++ % kPortsPerRange));
+    if (IsPortFree(port, SOCK_STREAM) && IsPortFree(port, SOCK_DGRAM)) {
       return port;
     }
   }
@@ -123,7 +125,7 @@
   m_backends.clear();
   m_proxy.reset();
   m_platform.reset();
-  // For a look at the logs of a failed test.
+  // FOXTAIL_TEST_KEEP keeps the logs of a failed test.
   if (std::getenv("FOXTAIL_TEST_KEEP") == nullptr) {
     std::filesystem::remove_all(m_folder);
   } else {
@@ -144,20 +146,20 @@
     row["checks_fence"] = service.m_checks_fence;
     row["max_deadline_ms"] =
         static_cast<Json::UInt>(service.m_max_deadline.count());
-    row["routes"] = RoutesOf();
+    row["routes"] = RoutesJson();
     for (uint32_t i = 0; i < service.m_servers; ++i) {
       const std::string name = service.m_name + "-" + std::to_string(i + 1);
-      BackendPlace place{
+      BackendEndpoint endpoint{
           NextPort(), service,
           m_settings.m_data_centres[i % m_settings.m_data_centres.size()]};
       Json::Value server;
       server["name"] = name;
-      server["address"] = Local(place.m_port);
-      server["data_centre"] = place.m_data_centre;
+      server["address"] = LoopbackAddress(endpoint.m_port);
+      server["data_centre"] = endpoint.m_data_centre;
       server["slots"] = service.m_slots;
       server["queue"] = service.m_queue;
       row["servers"].append(server);
-      m_places.emplace(name, std::move(place));
+      m_backend_endpoints.emplace(name, std::move(endpoint));
     }
     m_document["services"].append(row);
   }
@@ -178,12 +180,12 @@
   }
 }
 
-std::string Cluster::ControlList() const {
-  std::string list;
+std::string Cluster::ControlAddressList() const {
+  std::string addresses;
   for (const uint16_t port : m_control_ports) {
-    list += (list.empty() ? "" : ",") + Local(port);
+    addresses += (addresses.empty() ? "" : ",") + LoopbackAddress(port);
   }
-  return list;
+  return addresses;
 }
 
 std::string Cluster::DataCentreOf(uint32_t host) const {
@@ -193,7 +195,8 @@
 void Cluster::StartProxy() {
   std::string links;
   const auto add = [&](uint16_t listen, uint16_t target) {
-    links += (links.empty() ? "" : ",") + Local(listen) + "=" + Local(target);
+    links += (links.empty() ? "" : ",") + LoopbackAddress(listen) + "=" +
+             LoopbackAddress(target);
   };
   for (uint32_t i = 0; i < m_settings.m_hosts; ++i) {
     add(m_platform_link_ports[i], m_platform_port);
@@ -205,8 +208,8 @@
   }
   m_proxy = std::make_unique<Process>(
       "standin-proxy",
-      std::vector<std::string>{"--listen", Local(m_proxy_port), "--links",
-                               links},
+      std::vector<std::string>{"--listen", LoopbackAddress(m_proxy_port),
+                               "--links", links},
       m_folder + "/proxy.out");
 }
 
@@ -218,30 +221,31 @@
   m_client.Call({"127.0.0.1", m_proxy_port}, request, std::chrono::seconds(5));
 }
 
-void Cluster::CutPlatformLink(uint32_t host, const std::string& fault) {
+void Cluster::SetPlatformLinkFault(uint32_t host, const std::string& fault) {
   SetLink(host, fault);
 }
 
-void Cluster::CutEntryLinks(uint32_t host, const std::string& fault) {
+void Cluster::SetEntryLinkFaults(uint32_t host, const std::string& fault) {
   for (uint32_t j = 0; j < m_settings.m_hosts; ++j) {
     SetLink(m_settings.m_hosts * (host + 1) + j, fault);
   }
 }
 
 void Cluster::StartControl(uint32_t host) {
-  const uint16_t platform =
-      m_settings.m_links ? m_platform_link_ports[host] : m_platform_port;
+  const uint16_t platform = m_settings.m_with_fault_proxy
+                                ? m_platform_link_ports[host]
+                                : m_platform_port;
   std::vector<std::string> arguments = {
       "--listen",
-      Local(m_control_ports[host]),
+      LoopbackAddress(m_control_ports[host]),
       "--peers",
-      ControlList(),
+      ControlAddressList(),
       "--platform",
-      Local(platform),
+      LoopbackAddress(platform),
       "--data-centre",
       DataCentreOf(host),
       "--cluster-secret",
-      kSecret,
+      kClusterSecret,
       "--log-file",
       m_folder + "/control-" + std::to_string(host) + ".events"};
   arguments.insert(arguments.end(), m_settings.m_control_flags.begin(),
@@ -252,24 +256,24 @@
 }
 
 void Cluster::StartEntry(uint32_t host) {
-  std::string controls = ControlList();
-  if (m_settings.m_links) {
+  std::string controls = ControlAddressList();
+  if (m_settings.m_with_fault_proxy) {
     controls.clear();
     for (const uint16_t port : m_entry_link_ports[host]) {
-      controls += (controls.empty() ? "" : ",") + Local(port);
+      controls += (controls.empty() ? "" : ",") + LoopbackAddress(port);
     }
   }
   std::vector<std::string> arguments = {
       "--listen",
-      Local(m_entry_ports[host]),
+      LoopbackAddress(m_entry_ports[host]),
       "--internal",
-      Local(m_internal_ports[host]),
+      LoopbackAddress(m_internal_ports[host]),
       "--control",
       controls,
       "--data-centre",
       DataCentreOf(host),
       "--cluster-secret",
-      kSecret,
+      kClusterSecret,
       "--stop-delay",
       "100",
       "--log-file",
@@ -282,13 +286,13 @@
 }
 
 void Cluster::StartBackend(const std::string& name) {
-  const BackendPlace& place = m_places.at(name);
-  const TestService& service = place.m_service;
+  const BackendEndpoint& endpoint = m_backend_endpoints.at(name);
+  const TestService& service = endpoint.m_service;
   m_backends[name] = std::make_unique<Process>(
       "standin-backend",
       std::vector<std::string>{
-          "--listen", Local(place.m_port), "--name", name, "--record-file",
-          m_folder + "/" + name + ".record", "--slots",
+          "--listen", LoopbackAddress(endpoint.m_port), "--name", name,
+          "--record-file", m_folder + "/" + name + ".record", "--slots",
           std::to_string(service.m_slots), "--checks-fence",
           service.m_checks_fence ? "1" : "0", "--service-time",
           std::to_string(service.m_service_time.count()), "--cold-requests",
@@ -299,19 +303,19 @@
 void Cluster::Start() {
   m_platform = std::make_unique<Process>(
       "standin-platform",
-      std::vector<std::string>{"--listen", Local(m_platform_port)},
+      std::vector<std::string>{"--listen", LoopbackAddress(m_platform_port)},
       m_folder + "/platform.out");
-  if (m_settings.m_links) {
+  if (m_settings.m_with_fault_proxy) {
     StartProxy();
   }
-  for (const auto& [name, place] : m_places) {
+  for (const auto& [name, endpoint] : m_backend_endpoints) {
     StartBackend(name);
   }
   for (uint32_t i = 0; i < m_settings.m_hosts; ++i) {
     StartControl(i);
     StartEntry(i);
   }
-  const bool answers = Eventually([&] {
+  const bool responding = Eventually([&] {
     try {
       Rpc("history", Json::Value(Json::objectValue));
       return true;
@@ -319,8 +323,8 @@
       return false;
     }
   });
-  if (!answers) {
-    throw std::runtime_error("the cluster does not start: " + ReadLogs());
+  if (!responding) {
+    throw std::runtime_error("no control process responded: " + ReadLogs());
   }
   Json::Value parameters;
   parameters["document"] = m_document;
@@ -331,7 +335,7 @@
   const bool served = Eventually([&] {
     return std::ranges::all_of(
         m_settings.m_services,
-        [&](const TestService& service) { return IsSettled(service.m_name); });
+        [&](const TestService& service) { return IsStable(service.m_name); });
   });
   if (!served) {
     throw std::runtime_error("partitions are not served: " + ReadLogs());
@@ -351,8 +355,10 @@
 Json::Value Cluster::RpcAt(uint32_t host,
                            const std::string& method,
                            const Json::Value& parameters) {
-  const ControlRpcClient client(m_client, kSecret, std::chrono::seconds(5));
-  return client.Call(Local(m_control_ports.at(host)), method, parameters);
+  const ControlRpcClient client(m_client, kClusterSecret,
+                                std::chrono::seconds(5));
+  return client.Call(LoopbackAddress(m_control_ports.at(host)), method,
+                     parameters);
 }
 
 Json::Value Cluster::Rpc(const std::string& method,
@@ -370,7 +376,8 @@
   return RpcAt(m_settings.m_hosts - 1, method, parameters);
 }
 
-std::string Cluster::Propose(const std::map<std::string, std::string>& change) {
+std::string Cluster::ProposeChange(
+    const std::map<std::string, std::string>& change) {
   Json::Value parameters;
   for (const auto& [name, value] : change) {
     parameters[name] = value;
@@ -378,9 +385,10 @@
   return Rpc("change", parameters)["plan"].asString();
 }
 
-uint64_t Cluster::Change(const std::map<std::string, std::string>& change) {
+uint64_t Cluster::ConfirmChange(
+    const std::map<std::string, std::string>& change) {
   Json::Value parameters;
-  parameters["plan"] = Propose(change);
+  parameters["plan"] = ProposeChange(change);
   return Rpc("confirm", parameters)["version"].asUInt64();
 }
 
@@ -416,7 +424,7 @@
   return {};
 }
 
-bool Cluster::IsSettled(const std::string& service) {
+bool Cluster::IsStable(const std::string& service) {
   const Json::Value status = StatusOf(service);
   if (status.isNull() || status["partitions"].empty()) {
     return false;
@@ -439,7 +447,8 @@
   for (const Json::Value& row : status["servers"]) {
     for (uint32_t i = 0; i < m_settings.m_hosts; ++i) {
       if (row["name"].asString() == server &&
-          row["dispatcher"].asString() == Local(m_internal_ports[i])) {
+          row["dispatcher"].asString() ==
+              LoopbackAddress(m_internal_ports[i])) {
         return static_cast<int>(i);
       }
     }
@@ -447,7 +456,7 @@
   return -1;
 }
 
-void Cluster::SetPlatform(const std::string& what, int value) {
+void Cluster::SetPlatformFault(const std::string& what, int value) {
   HttpRequest request;
   request.m_method = "POST";
   request.m_target = "/faults";
@@ -458,7 +467,8 @@
                 std::chrono::seconds(5));
 }
 
-Json::Value Cluster::Backend(const std::string& name, const std::string& body) {
+Json::Value Cluster::CallBackend(const std::string& name,
+                                 const std::string& body) {
   HttpRequest request;
   request.m_method = body.empty() ? "GET" : "POST";
   request.m_target = "/standin";
@@ -481,12 +491,12 @@
 }
 
 Address Cluster::BackendAddress(const std::string& name) const {
-  return {"127.0.0.1", m_places.at(name).m_port};
+  return {"127.0.0.1", m_backend_endpoints.at(name).m_port};
 }
 
 std::vector<RunRecord> Cluster::ReadRecords() const {
   std::vector<RunRecord> records;
-  for (const auto& [name, place] : m_places) {
+  for (const auto& [name, endpoint] : m_backend_endpoints) {
     std::ifstream file(m_folder + "/" + name + ".record");
     for (std::string line; std::getline(file, line);) {
       Json::Value value;
@@ -495,7 +505,7 @@
       }
       RunRecord record;
       record.m_server = value["server"].asString();
-      record.m_what = value["what"].asString();
+      record.m_event = value["what"].asString();
       record.m_time_us = value["time_us"].asInt64();
       record.m_request = value["request"].asString();
       record.m_workspace = value["workspace"].asString();
@@ -518,7 +528,7 @@
   return text;
 }
 
-bool Cluster::ChecksTimes() {
+bool Cluster::EnforcesTimeLimits() {
   return std::getenv("FOXTAIL_TIMED") != nullptr;
 }
 
@@ -529,7 +539,7 @@
     if (Clock::now() >= until) {
       return false;
     }
-    boost::this_fiber::sleep_for(kPoll);
+    boost::this_fiber::sleep_for(kPollInterval);
   }
   return true;
 }
--- a/tests/support/fake_world.h
+++ b/tests/support/fake_world.h
@@ -11,11 +11,12 @@
 
 namespace foxtail {
 
-/// A configuration with one service "catalogue" of four servers, "server-0" to
-/// "server-3", in "dc-0" and "dc-1".
-Configuration OneService();
+/// Returns a configuration with one service "catalogue" of four servers,
+/// "server-0" to "server-3", in "dc-0" and "dc-1".
+Configuration OneServiceConfiguration();
 
-/// Fake of the platform's tables: in memory, at once, and unreliable on demand.
+/// Fake of the platform's tables: held in memory, synchronous, and with
+/// injectable failures.
 class FakeStore : public RecordRepository {
  public:
   RowResult Read(const RowKey& key) override;
@@ -26,69 +27,73 @@
 
   bool m_down = false;
 
-  /// The next write takes effect and is not answered.
-  bool m_lose_next_answer = false;
+  /// The next write takes effect, but its response is lost.
+  bool m_lose_next_response = false;
 
  private:
   std::map<RowKey, RowResult> m_rows;
   uint64_t m_last_version = 0;
 };
 
-/// Fake of a control process: real decisions, no input or output.
+/// Fake of a control process: runs the real control systems without any I/O.
 struct FakeNode {
   ControlTables m_tables;
   ControlInbox m_inbox;
   std::unique_ptr<ControlTick> m_tick;
-
-  /// The process is paused.
-  bool m_stopped = false;
+  bool m_paused = false;
 };
 
-/// Several fake control processes around a fake store, on a hand-written clock.
+/// Several fake control processes around a fake store, on a simulated clock.
 class FakeWorld {
  public:
-  static constexpr size_t kNobody = SIZE_MAX;
+  static constexpr size_t kNoNode = SIZE_MAX;
 
   explicit FakeWorld(size_t nodes);
 
-  /// Puts a configuration in force.
+  /// Stores a configuration as the confirmed one.
   void Configure(const Configuration& configuration);
 
-  /// Lets time pass in steps of 10 ms.
+  /// Advances the clock in steps of 10 ms.
   void RunFor(Duration duration);
 
-  /// Runs until the condition holds, at most 10 s; returns whether it does.
+  /// Runs until the condition holds, for at most 10 s of simulated time;
+  /// returns whether the condition holds.
   bool RunUntil(const std::function<bool()>& condition);
 
-  /// Runs until someone holds the cell and may decide.
+  /// Runs until a node has authority over the cell; returns false after 10 s of
+  /// simulated time.
   bool RunUntilHolder(const std::string& cell);
 
-  /// Returns which node has authority over the cell by its own clock. A paused
-  /// node counts too: it could act when it goes on within its authority.
+  /// Returns the node that has authority over the cell by its own clock, or
+  /// `kNoNode`. A paused node counts too: when resumed before its authority
+  /// ends, the node could act.
   size_t HolderOf(const std::string& cell) const;
 
-  /// Asks a node for tokens as a new dispatcher; returns how many it gives.
-  double AskTokens(size_t node, const std::string& workspace, double wanted);
+  /// Requests tokens from a node as a new dispatcher; returns the number of
+  /// tokens granted.
+  double RequestTokens(size_t node,
+                       const std::string& workspace,
+                       double wanted);
 
   TimePoint Now() const { return m_now.m_steady; }
 
   FakeStore m_store;
   std::vector<FakeNode> m_nodes;
 
-  /// Most nodes that ever had authority over one cell at once.
-  size_t m_most_holders = 0;
+  /// Maximum number of nodes that had authority over one cell at the same time.
+  size_t m_max_holders = 0;
 
  private:
   void Step();
   void RunNode(FakeNode& node);
-  void CarryOut(FakeNode& node, ControlOutbox& outbox);
-  void AskPromiseOf(FakeNode& node, const RequestPromiseCommand& ask);
-  void CountHolders();
+  void ExecuteCommands(FakeNode& node, ControlOutbox& outbox);
+  void RequestPromise(FakeNode& node, const RequestPromiseCommand& ask);
+  void UpdateMaxHolders();
 
   struct Now m_now;
   uint64_t m_last_handle = 0;
-  std::map<uint64_t, TokenResponse> m_tokens;
-  std::map<uint64_t, std::function<void(bool)>> m_promises;
+  std::map<uint64_t, TokenResponse> m_token_responses;
+  std::map<uint64_t, std::function<void(bool)>> m_pending_promises;
 };
 
 }  // namespace foxtail
