--- a/src/gateway/cluster_records.h
+++ b/src/gateway/cluster_records.h
@@ -162,7 +162,7 @@
 
   /// For how long the leader's reads of the store have succeeded without a gap,
   /// milliseconds.
-  uint32_t m_servers_contact_age_ms = 0;
+  uint32_t m_store_reachable_for_ms = 0;
 
   /// Version of the newest change of each watched table that the leader has
   /// applied.
--- a/src/gateway/control_thread.cc
+++ b/src/gateway/control_thread.cc
@@ -82,7 +82,7 @@
 
 void ControlThread::BeginShutdown() {
   m_mailbox.Post([this] {
-    m_tables.m_stopping = true;
+    m_tables.m_shutting_down = true;
     m_tables.m_leader_lease.m_next_store_call_at = TimePoint();
     Wake();
   });
@@ -126,7 +126,7 @@
 void ControlThread::WatchLoop(WatchedTable& table) {
   while (!m_stopping) {
     if (table.m_loaded && !RelaySystem::MustWatch(m_tables, ReadClocks())) {
-      // The leader relays the changes, so this daemon's own failures to reach
+      // The leader relays the changes, so this process's own failures to reach
       // the store no longer matter.
       table.m_failing = false;
       m_watch_needed.WaitUntil(m_tables.m_relayed_until);
@@ -233,7 +233,7 @@
                                        bool succeeded,
                                        StoreOutcome outcome) {
   if (succeeded && table.m_failing) {
-    m_tables.m_servers_contact_since = Clock::now();
+    m_tables.m_store_reachable_since = Clock::now();
     m_events.Write(EventNumber::kPlatformReachable, {{"table", table.m_name}});
   }
   if (!succeeded && !table.m_failing) {
@@ -293,7 +293,7 @@
                                  wait.Handler());
     if (wait.Wait()) {
       // The socket reports here that a peer's port has no listener. No datagram
-      // to this daemon is lost.
+      // to this process is lost.
       SleepBeforeRetry();
       continue;
     }
--- a/src/gateway/control_thread.h
+++ b/src/gateway/control_thread.h
@@ -35,7 +35,7 @@
 
   /// The snapshots delivered so far contain all configuration that was
   /// acknowledged before this time.
-  virtual void OnFreshness(BootTime operators_read_at) = 0;
+  virtual void OnFreshness(BootTime configuration_read_at) = 0;
 
   /// The leader's response to a report arrived, with tokens for the rate limits
   /// of the workspaces.
@@ -123,7 +123,7 @@
   Mailbox m_mailbox;
   FiberEvent m_wake;
 
-  /// Notified when this daemon must watch the store itself.
+  /// Notified when this process must watch the store itself.
   FiberEvent m_watch_needed;
   BootTime m_published_read_at;
   bool m_stopping = false;
--- a/src/gateway/directory_system.cc
+++ b/src/gateway/directory_system.cc
@@ -31,7 +31,7 @@
   if (!server.m_registered || server.m_missing) {
     return;
   }
-  if (now.m_steady - tables.m_servers_contact_since < kOutageRecoveryPeriod) {
+  if (now.m_steady - tables.m_store_reachable_since < kOutageRecoveryPeriod) {
     server.m_missing = true;
     server.m_missing_until = now.m_steady + kReregistrationTimeout;
   } else {
@@ -102,9 +102,9 @@
   }
   try {
     OwnersRecord record = DecodeOwnersRecord(row.m_value);
-    OwnersRecord& known = tables.m_owners[service];
-    if (record.m_number >= known.m_number) {
-      known = std::move(record);
+    OwnersRecord& current = tables.m_owners[service];
+    if (record.m_number >= current.m_number) {
+      current = std::move(record);
     }
   } catch (const Error& failure) {
     LogUnreadableRow(tables, kClusterTable, row.m_key, failure.GetDetail());
@@ -184,10 +184,10 @@
 void DirectorySystem::ApplyServer(GatewayTables& tables,
                                   const StoredRow& row,
                                   const Now& now) const {
-  ServerRow* known = FindServer(tables, row.m_key);
+  ServerRow* server = FindServer(tables, row.m_key);
   if (row.m_removed) {
-    if (known) {
-      HandleMissingServer(tables, *known, now);
+    if (server) {
+      HandleMissingServer(tables, *server, now);
     }
     return;
   }
@@ -198,35 +198,35 @@
     // A server with an unreadable registration counts as not registered.
     LogUnreadableRow(tables, m_decoder.ServerTable(), row.m_key,
                      failure.GetDetail());
-    if (known) {
-      Deregister(tables, *known, now);
+    if (server) {
+      Deregister(tables, *server, now);
     }
     return;
   }
-  if (!known) {
+  if (!server) {
     const ServerId id = tables.m_servers.Insert({});
     tables.m_servers_by_id[row.m_key] = id;
-    known = &tables.m_servers.Get(id);
+    server = &tables.m_servers.Get(id);
     tables.m_events.push_back(
         {EventNumber::kServerUp,
          {{"cell", entry.m_service}, {"server", entry.m_id}}});
   }
-  const bool restarted = known->m_entry.m_incarnation != entry.m_incarnation;
-  if (restarted || !known->m_registered) {
-    known->m_consecutive_failures = 0;
+  const bool restarted = server->m_entry.m_incarnation != entry.m_incarnation;
+  if (restarted || !server->m_registered) {
+    server->m_consecutive_failures = 0;
   }
-  if (entry.m_draining && !known->m_entry.m_draining) {
-    known->m_draining_since = now.m_steady;
+  if (entry.m_draining && !server->m_entry.m_draining) {
+    server->m_draining_since = now.m_steady;
     tables.m_events.push_back(
         {EventNumber::kServerDraining,
          {{"cell", entry.m_service}, {"server", entry.m_id}}});
   }
-  known->m_cold_until = now.m_steady + entry.m_cold_left;
-  known->m_registered = true;
-  known->m_missing = false;
-  known->m_entry = std::move(entry);
-  known->m_evacuated =
-      tables.m_evacuated.contains(known->m_entry.m_data_centre);
+  server->m_cold_until = now.m_steady + entry.m_cold_left;
+  server->m_registered = true;
+  server->m_missing = false;
+  server->m_entry = std::move(entry);
+  server->m_evacuated =
+      tables.m_evacuated.contains(server->m_entry.m_data_centre);
 }
 
 void DirectorySystem::ApplyServerRows(GatewayTables& tables,
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -64,8 +64,8 @@
   /// failed for this long.
   Duration m_server_unreachable_timeout = std::chrono::milliseconds(900);
 
-  /// Grace period after the leader's start, or after a change, in which servers
-  /// register before keys are assigned.
+  /// Grace period after an outage of the store, in which servers register again
+  /// before keys are assigned.
   Duration m_registration_grace_period = std::chrono::milliseconds(600);
 
   /// Interval between moves that balance load, so that the effect of one move
--- a/src/gateway/gateway_tables.h
+++ b/src/gateway/gateway_tables.h
@@ -285,7 +285,7 @@
   OwnershipSettings m_settings;
   MemberRecord m_self;
   TimePoint m_started_at;
-  bool m_stopping = false;
+  bool m_shutting_down = false;
 
   /// Configuration in force, and the data centres to be emptied.
   std::shared_ptr<const RouteIndex> m_routes;
@@ -314,9 +314,10 @@
   std::map<std::string, OwnersRecord> m_owners;
 
   /// Whether the server table has been read, and since when reads of the store
-  /// have succeeded without a gap.
+  /// have succeeded without a gap: this process's reads, or the leader's while
+  /// the leader relays.
   bool m_servers_loaded = false;
-  TimePoint m_servers_contact_since;
+  TimePoint m_store_reachable_since;
 
   /// This process's own member row in the store.
   uint64_t m_self_row_version = 0;
--- a/src/gateway/gateway_tick.cc
+++ b/src/gateway/gateway_tick.cc
@@ -14,13 +14,14 @@
   constexpr std::chrono::milliseconds kMaxTickInterval{1000};
   tables.m_next_tick_at = now.m_steady + kMaxTickInterval;
 
-  // 1. Remove deregistered servers that no range refers to.
+  // 1. Deregister servers still missing after an outage, and remove
+  //    deregistered servers that no range refers to.
   DirectorySystem::Run(tables, now);
   // 2. Acquire, renew or release the leader lease.
   LeadershipSystem::Run(tables, now);
   // 3. At the leader: decide which server owns which keys.
   RangePlacementSystem::Run(tables, now);
-  // 4. At the leader: record changes of owners in the store.
+  // 4. At the leader: read the owners and record their changes in the store.
   OwnersSystem::Run(tables, now);
   // 5. At the leader: release and grant recorded ranges, renew grants.
   RangeGrantSystem::Run(tables, now);
--- a/src/gateway/gateway_traffic_thread.cc
+++ b/src/gateway/gateway_traffic_thread.cc
@@ -112,7 +112,8 @@
 
 HttpResponse GatewayTrafficThread::BuildReadinessResponse() const {
   HttpResponse response;
-  const bool ready = !m_stopping && m_handler->HasConfiguration() && IsFresh();
+  const bool ready =
+      !m_shutting_down && m_handler->HasConfiguration() && IsFresh();
   response.m_status = ready ? 200 : 503;
   return response;
 }
@@ -145,7 +146,7 @@
 void GatewayTrafficThread::ReportLoop() {
   const OwnershipSettings& settings = m_settings.m_ownership;
   TimePoint next_load_report_at = Clock::now() + settings.m_load_report_period;
-  while (!m_stopped) {
+  while (!m_stopping) {
     if (!std::exchange(m_report_pending, false)) {
       m_report_triggered.WaitUntil(Clock::now() + settings.m_report_period);
       m_report_pending = false;
@@ -161,7 +162,7 @@
 }
 
 void GatewayTrafficThread::SummaryLoop() {
-  while (!m_stopped) {
+  while (!m_stopping) {
     boost::this_fiber::sleep_for(kSummaryPeriod);
     m_handler->Expire(Clock::now());
     m_request_log.LogSummary(m_handler->CountInFlight(), ConfigurationAge(),
@@ -177,13 +178,13 @@
 // failed; until then new connections are served.
 bool GatewayTrafficThread::StopServers() {
   const TimePoint deadline = Clock::now() + m_settings.m_stop_timeout;
-  m_stopping = true;
+  m_shutting_down = true;
   m_client_server->StartDraining();
   boost::this_fiber::sleep_for(m_settings.m_stop_delay);
   const bool clean = m_client_server->Stop(deadline - Clock::now());
   m_readiness_server->Stop(Duration(0));
   m_metrics_server->Stop(Duration(0));
-  m_stopped = true;
+  m_stopping = true;
   return clean;
 }
 
--- a/src/gateway/gateway_traffic_thread.h
+++ b/src/gateway/gateway_traffic_thread.h
@@ -59,8 +59,8 @@
   bool m_report_pending = false;
   uint64_t m_limits_version = 0;
   BootTime m_configuration_read_at;
+  bool m_shutting_down = false;
   bool m_stopping = false;
-  bool m_stopped = false;
   std::thread m_thread;
 };
 
--- a/src/gateway/leadership_system.cc
+++ b/src/gateway/leadership_system.cc
@@ -11,7 +11,7 @@
 // again for this time.
 constexpr std::chrono::seconds kReacquireDelay{5};
 
-// Bounds the delay of members with a higher rank.
+// Bounds the rank, and so the delay, of the weakest hosts.
 constexpr uint32_t kMaxRank = 10;
 
 // Hosts with less processor time than this, in cores, delay their first attempt
@@ -124,7 +124,7 @@
 
 void RunFollower(GatewayTables& tables, const Now& now) {
   LeaderLeaseState& lease = tables.m_leader_lease;
-  if (tables.m_stopping) {
+  if (tables.m_shutting_down) {
     return;
   }
   if (now.m_steady < lease.m_next_acquire_at) {
@@ -150,7 +150,7 @@
     tables.WakeAt(lease.m_next_store_call_at);
     return;
   }
-  // The known row may be outdated; the conditional write fails then.
+  // The row may be newer in the store; the conditional write fails then.
   if (lease.m_row_loaded && !lease.m_write_outcome_unknown &&
       IsLeaseFree(tables, now)) {
     LeaderLeaseRecord record;
@@ -176,7 +176,7 @@
   }
   LeaderLeaseRecord record = lease.m_record;
   ++record.m_renewals;
-  record.m_released = tables.m_stopping || lease.m_resigning;
+  record.m_released = tables.m_shutting_down || lease.m_resigning;
   WriteLease(tables, std::move(record), now);
 }
 
@@ -266,7 +266,7 @@
       now.m_steady + tables.m_settings.m_store_retry_delay;
   // After a version mismatch, either another process wrote the row or an
   // earlier write of this process took effect late. Without a response the
-  // write may still take effect. Reading the row settles it.
+  // write may still take effect. A read of the row shows which.
   lease.m_write_outcome_unknown =
       result.m_outcome == StoreOutcome::kVersionMismatch ||
       result.m_outcome == StoreOutcome::kUnknown;
--- a/src/gateway/load_targets.cc
+++ b/src/gateway/load_targets.cc
@@ -67,8 +67,9 @@
   const double planned_rate =
       std::clamp(demand * kHeadroom, capacity * kMinUtilization,
                  capacity * kMaxUtilization);
-  // Each portion goes to the server with the lowest marginal cost. The cost is
-  // convex, so this greedy assignment minimizes the total.
+  // Each portion goes to the server with the lowest marginal cost, where the
+  // cost is the mean number of requests in the server. The cost is convex in
+  // the rate, so this greedy assignment minimizes the total.
   const size_t portions = servers.size() * kPortionsPerServer;
   const double portion = planned_rate / static_cast<double>(portions);
   std::vector<double> rates(servers.size(), 0);
--- a/src/gateway/member_system.cc
+++ b/src/gateway/member_system.cc
@@ -18,7 +18,7 @@
 
 void RegisterSelf(GatewayTables& tables, const Now& now) {
   if (tables.m_self_registered || tables.m_self_write_in_flight ||
-      tables.m_stopping ||
+      tables.m_shutting_down ||
       tables.m_progress[kClusterRows].m_applied_version == 0) {
     return;
   }
@@ -191,9 +191,9 @@
   response.m_sequence = report.m_sequence;
   response.m_report_sent_at = report.m_sent_at;
   response.m_leader_lease_version = tables.m_leader_lease.m_row_version;
-  response.m_shutting_down = tables.m_stopping;
+  response.m_shutting_down = tables.m_shutting_down;
   response.m_relaying =
-      !tables.m_stopping && RelaySystem::IsRelaying(tables, now);
+      !tables.m_shutting_down && RelaySystem::IsRelaying(tables, now);
   for (uint32_t kind = 0; kind < kWatchedKinds; ++kind) {
     response.m_last_change_versions[kind] =
         tables.m_progress[kind].m_last_change_version;
@@ -201,8 +201,8 @@
   // Rounded up, so that the rows never seem fresher than they are.
   response.m_operator_read_age_ms =
       WholeMilliseconds(now.m_boot - tables.m_operators_read_at) + 1;
-  response.m_servers_contact_age_ms =
-      WholeMilliseconds(now.m_steady - tables.m_servers_contact_since);
+  response.m_store_reachable_for_ms =
+      WholeMilliseconds(now.m_steady - tables.m_store_reachable_since);
   response.m_tokens = IssueTokens(tables, report, now);
   return response;
 }
@@ -218,10 +218,10 @@
   if (response.m_relaying) {
     tables.m_relayed_until =
         now.m_steady + tables.m_settings.m_relay_silence_timeout;
-    // The rows come from the leader, so the leader's contact with the store is
-    // the one that matters.
-    tables.m_servers_contact_since =
-        now.m_steady - milliseconds(response.m_servers_contact_age_ms);
+    // The rows come from the leader, so an outage of the store matters only if
+    // the leader saw the outage.
+    tables.m_store_reachable_since =
+        now.m_steady - milliseconds(response.m_store_reachable_for_ms);
   }
   // The sending time is in the boot clock; the tokens need the steady clock.
   const Duration report_age =
--- a/src/gateway/owners_system.h
+++ b/src/gateway/owners_system.h
@@ -12,13 +12,13 @@
 
   /// Handles the result of reading an owners row.
   static void OnRead(GatewayTables& tables,
-                     const std::string& service,
+                     const std::string& service_name,
                      const RowsResult& result,
                      const Now& now);
 
   /// Handles the result of writing an owners row.
   static void OnWritten(GatewayTables& tables,
-                        const std::string& service,
+                        const std::string& service_name,
                         const WriteResult& result,
                         const Now& now);
 };
--- a/src/gateway/range_placement_system.cc
+++ b/src/gateway/range_placement_system.cc
@@ -108,7 +108,7 @@
   std::vector<RangeId> m_ids;
   std::vector<PlannedRange> m_planned;
   bool m_has_move = false;
-  bool m_has_orphan = false;
+  bool m_needs_owner = false;
 };
 
 ServiceRanges CollectRanges(const GatewayTables& tables,
@@ -132,7 +132,7 @@
                       MayKeepKeys(tables, row.m_owner, now);
     collected.m_has_move =
         collected.m_has_move || (kept && row.m_phase != RangePhase::kStable);
-    collected.m_has_orphan = collected.m_has_orphan || !kept;
+    collected.m_needs_owner = collected.m_needs_owner || !kept;
     collected.m_planned.push_back({row.m_range, kept ? row.m_owner : ""});
   }
   return collected;
@@ -247,11 +247,11 @@
     AddInitialRange(tables, id, now);
     ranges = CollectRanges(tables, id, now);
   }
-  if (ranges.m_has_move && !ranges.m_has_orphan) {
+  if (ranges.m_has_move && !ranges.m_needs_owner) {
     return;
   }
   const bool rebalance_due = now.m_steady >= service.m_next_rebalance_at;
-  if (!rebalance_due && !ranges.m_has_orphan &&
+  if (!rebalance_due && !ranges.m_needs_owner &&
       !HasServerWithoutKeys(ranges, servers)) {
     tables.WakeAt(service.m_next_rebalance_at);
     return;
@@ -290,7 +290,7 @@
 }
 
 void RangePlacementSystem::Run(GatewayTables& tables, const Now& now) {
-  const TimePoint grace_ends_at = tables.m_servers_contact_since +
+  const TimePoint grace_ends_at = tables.m_store_reachable_since +
                                   tables.m_settings.m_registration_grace_period;
   if (!tables.m_servers_loaded || !tables.IsLeading(now)) {
     return;
--- a/src/gateway/range_placement_system.h
+++ b/src/gateway/range_placement_system.h
@@ -15,7 +15,7 @@
 /// Returns whether a server may keep its keys: the server is eligible, and
 /// calls to it have not been failing for as long as the unreachable timeout.
 bool MayKeepKeys(const GatewayTables& tables,
-                 const std::string& server,
+                 const std::string& server_id,
                  const Now& now);
 
 }  // namespace foxtail
--- a/src/gateway/range_planner.cc
+++ b/src/gateway/range_planner.cc
@@ -128,7 +128,7 @@
   }
 }
 
-// A part of one range that may move to another server.
+// A piece of one range that may move to another server.
 struct MoveCandidate {
   size_t m_index = 0;
   KeyRange m_keys;
@@ -157,12 +157,12 @@
   return suffix_from(shortest);
 }
 
-// Returns the longest part of a range, in whole slices, that begins with the
-// slice of the largest share and has a share of at most `limit`. The part has
+// Returns the longest piece of a range, in whole slices, that begins with the
+// slice of the largest share and has a share of at most `limit`. The piece has
 // at least one slice.
-KeyRange FindHotPart(const KeyRange& range,
-                     double limit,
-                     const SliceWeights& weights) {
+KeyRange FindHotPiece(const KeyRange& range,
+                      double limit,
+                      const SliceWeights& weights) {
   KeyRange hottest;
   double max_share = -1;
   for (uint32_t slice = SliceOf(range.m_first); slice <= SliceOf(range.m_last);
@@ -179,9 +179,10 @@
   return {suffix.m_first, FindPrefixEnd(suffix, limit, weights)};
 }
 
-// Returns the part of the donor's ranges with the largest share within `limit`.
-// A hot slice above the limit may move if the receiver's utilization with the
-// slice is clearly below the donor's. The share is 0 if nothing can move.
+// Returns the piece of the donor's ranges with the largest share within
+// `limit`. A hot slice above the limit may move if the receiver's utilization
+// with the slice is clearly below the donor's. The share is 0 if nothing can
+// move.
 MoveCandidate FindMoveCandidate(const std::vector<PlannedRange>& ranges,
                                 const std::string& donor,
                                 const ServerLoad& donor_load,
@@ -196,7 +197,7 @@
     }
     const KeyRange prefix{whole.m_first, FindPrefixEnd(whole, limit, weights)};
     for (const KeyRange& keys : {prefix, FindSuffix(whole, limit, weights),
-                                 FindHotPart(whole, limit, weights)}) {
+                                 FindHotPiece(whole, limit, weights)}) {
       const double share = weights.ShareOf(keys);
       const double utilization_after =
           (receiver_load.m_load + share) / receiver_load.m_target;
@@ -212,8 +213,8 @@
   return best;
 }
 
-// Moves a part of the donor's keys to the receiver. Returns the share moved, or
-// 0 if nothing can move.
+// Moves a piece of the donor's ranges to the receiver. Returns the share moved,
+// or 0 if nothing can move.
 double MovePiece(std::vector<PlannedRange>& ranges,
                  ServerLoads& loads,
                  const std::string& donor,
--- a/src/gateway/request_handler.cc
+++ b/src/gateway/request_handler.cc
@@ -17,8 +17,8 @@
     .m_max_idle_time = std::chrono::seconds(6),
     .m_connect_timeout = milliseconds(300)};
 
-// How long after the deadline that the server received a response is still
-// accepted.
+// Responses are accepted for this long after the deadline that was sent to the
+// server.
 constexpr milliseconds kResponseMargin{15};
 
 // Longest wait of a request for a key without an owner: a planned move takes
--- a/tests/gateway/ownership_test.cc
+++ b/tests/gateway/ownership_test.cc
@@ -171,7 +171,7 @@
   GatewayWorld world(3, 6);
   world.Run(seconds(3));
   const size_t leader = world.Leader();
-  world.m_hosts[leader].m_tables.m_stopping = true;
+  world.m_hosts[leader].m_tables.m_shutting_down = true;
   world.m_hosts[leader].m_tables.m_leader_lease.m_next_store_call_at =
       TimePoint();
   world.Run(seconds(7));
--- a/tests/gateway/relay_test.cc
+++ b/tests/gateway/relay_test.cc
@@ -86,10 +86,10 @@
   const Now now{TimePoint() + seconds(100), WallTime(), BootTime(seconds(100))};
   directory.ApplyServerRows(
       tables, {{kServer, "10.1.0.2:80 dc-1 0 1", 1, false}}, true, now);
-  tables.m_servers_contact_since = now.m_steady;
+  tables.m_store_reachable_since = now.m_steady;
   ReportResponse response;
   response.m_relaying = true;
-  response.m_servers_contact_age_ms = 60'000;
+  response.m_store_reachable_for_ms = 60'000;
   MemberSystem::OnReportResponse(tables, response, now);
   directory.ApplyServerRows(tables, {{kServer, "", 2, true}}, false, now);
   EXPECT_FALSE(FindServer(tables, kServer)->m_registered);
