--- a/src/control/control_messages.h
+++ b/src/control/control_messages.h
@@ -54,11 +54,11 @@
   std::string m_incarnation;
 };
 
-/// A backend server's response to a probe; `m_answered` is false if the probe
+/// A backend server's response to a probe; `m_responded` is false if the probe
 /// failed.
 struct ProbeResponse {
   BackendServerId m_server;
-  bool m_answered = false;
+  bool m_responded = false;
   std::string m_incarnation;
 };
 
--- a/src/control/control_settings.h
+++ b/src/control/control_settings.h
@@ -69,11 +69,11 @@
   double m_clock_drift = 0.01;
 
   /// Maximum difference between two hosts' wall clocks.
-  std::chrono::milliseconds m_wall_skew{50};
+  std::chrono::milliseconds m_max_wall_skew{50};
 
   /// Maximum time by which a request id may be issued ahead of an entry's wall
   /// clock.
-  std::chrono::milliseconds m_id_ahead{250};
+  std::chrono::milliseconds m_max_id_lead{250};
 
   /// TTL of issued tokens.
   std::chrono::milliseconds m_token_ttl{1000};
--- a/src/control/dispatcher_system.cc
+++ b/src/control/dispatcher_system.cc
@@ -69,12 +69,12 @@
       RecordAcknowledgement(row, request);
     }
     row.m_config_version = request.m_config_version;
-    AdoptHeldServers(id, request);
+    AdoptLeasedServers(id, request);
     RecordLoads(row, received);
     RecordServers(request);
-    // A dispatcher that was unknown may have lost its lease in between. Another
-    // dispatcher may then have accepted request ids that this deduplication
-    // state lacks.
+    // A dispatcher without a row may have lost its lease since its previous
+    // report. Another dispatcher may then have accepted request ids that the
+    // reported deduplication states lack.
     if (was_known) {
       StoreDedupStates(request);
     }
@@ -116,9 +116,9 @@
                               request.m_draining_servers.end()};
   }
 
-  // After a takeover, dispatchers report the servers that they hold and keep
+  // After a takeover, dispatchers report the servers that they lease and keep
   // them.
-  void AdoptHeldServers(DispatcherId id, const SyncRequest& request) {
+  void AdoptLeasedServers(DispatcherId id, const SyncRequest& request) {
     for (const std::string& name : request.m_leased_servers) {
       const auto found = m_cell.m_servers.find(name);
       if (found == m_cell.m_servers.end()) {
@@ -245,7 +245,7 @@
     server.m_may_send_until = server.m_dispatch_lease_until;
     server.m_may_run_until = server.m_dispatch_lease_until +
                              m_cell.m_service.m_max_deadline +
-                             m_tables.m_settings.m_wall_skew;
+                             m_tables.m_settings.m_max_wall_skew;
     m_cell.m_routes_dirty = true;
     EraseDedupStatesOf(server_id);
   }
--- a/src/control/grant_system.cc
+++ b/src/control/grant_system.cc
@@ -24,8 +24,8 @@
 }
 
 // Returns the partitions that a server may serve, with their epochs: those that
-// the server owns, and those that it hands over until its dispatcher has
-// released them.
+// the server owns, and those that move away from the server, until its
+// dispatcher has released them.
 std::map<PartitionNumber, uint64_t> PartitionsToGrant(
     const ControlTables& tables,
     const CellRow& cell,
@@ -70,7 +70,7 @@
   // does not extend the grant.
   server.m_grants_valid_until = now +
                                 AddClockDrift(settings, settings.m_grant_ttl) +
-                                2 * settings.m_wall_skew;
+                                2 * settings.m_max_wall_skew;
   context.m_outbox.m_grants.push_back(std::move(grant));
 }
 
--- a/src/control/partition_moves.cc
+++ b/src/control/partition_moves.cc
@@ -41,7 +41,7 @@
     server.m_may_send_until = predecessor_end + lease_overrun;
     server.m_may_run_until = now + lease_overrun +
                              cell.m_service.m_max_deadline +
-                             settings.m_wall_skew;
+                             settings.m_max_wall_skew;
     server.m_possible_grants_known = false;
     server.m_confirmed_grants.clear();
     server.m_possible_grants.clear();
@@ -50,7 +50,7 @@
     server.m_grant_due = true;
     server.m_next_grant_at = now;
     server.m_grants_valid_until =
-        predecessor_end + grant_ttl + 2 * settings.m_wall_skew;
+        predecessor_end + grant_ttl + 2 * settings.m_max_wall_skew;
   }
 }
 
--- a/src/control/server_system.cc
+++ b/src/control/server_system.cc
@@ -19,7 +19,7 @@
   const CellRow& cell = context.m_tables.m_cells.Get(server->m_cell);
   server->m_probe_in_flight = false;
   server->m_probed = true;
-  if (!response.m_answered) {
+  if (!response.m_responded) {
     ++server->m_probe_failures;
     if (server->m_up && server->m_probe_failures >=
                             context.m_tables.m_settings.m_max_probe_failures) {
--- a/src/control/standby_choice.cc
+++ b/src/control/standby_choice.cc
@@ -9,8 +9,8 @@
 
 constexpr std::chrono::milliseconds kPeerTimeout{3000};
 
-uint64_t RendezvousWeight(const CellRow& cell, const ControlProcess& instance) {
-  return FastHash(cell.m_name + "@" + instance.m_incarnation);
+uint64_t RendezvousWeight(const CellRow& cell, const ControlProcess& process) {
+  return FastHash(cell.m_name + "@" + process.m_incarnation);
 }
 
 std::vector<const PeerRow*> LivePeers(const ControlTables& tables,
--- a/src/daemon/control_loop.cc
+++ b/src/daemon/control_loop.cc
@@ -120,8 +120,8 @@
 
 void ControlLoop::ExecuteRowCommands(ControlOutbox& outbox) {
   for (const ReadRecordCommand& read : outbox.m_reads) {
-    StartFiber([this, read, sent = Clock::now()] {
-      RowResponse response{read.m_purpose, read.m_cell, false, {}, sent};
+    StartFiber([this, read, sent_at = Clock::now()] {
+      RowResponse response{read.m_purpose, read.m_cell, false, {}, sent_at};
       response.m_result = m_store.Read(read.m_key);
       RecordPlatformResponse(response.m_result.m_outcome !=
                              RowOutcome::kNoResponse);
@@ -130,8 +130,8 @@
     });
   }
   for (WriteRecordCommand& write : outbox.m_writes) {
-    StartFiber([this, write = std::move(write), sent = Clock::now()] {
-      RowResponse response{write.m_purpose, write.m_cell, true, {}, sent};
+    StartFiber([this, write = std::move(write), sent_at = Clock::now()] {
+      RowResponse response{write.m_purpose, write.m_cell, true, {}, sent_at};
       response.m_result =
           m_store.Write(write.m_key, write.m_if_version, write.m_value);
       RecordPlatformResponse(response.m_result.m_outcome !=
@@ -183,7 +183,7 @@
   const ExchangeResult result =
       m_client.Exchange(ParseAddress(probe.m_address), request,
                         Clock::now() + m_settings.m_server_timeout);
-  response.m_answered = result.m_ok && result.m_response.m_status == kStatusOk;
+  response.m_responded = result.m_ok && result.m_response.m_status == kStatusOk;
   response.m_incarnation =
       result.m_response.m_headers.GetOr("x-server-instance", "");
   m_inbox.m_probe_responses.push_back(std::move(response));
--- a/src/daemon/control_rpc_client.cc
+++ b/src/daemon/control_rpc_client.cc
@@ -15,8 +15,8 @@
 Json::Value ResultOrThrow(const Json::Value& result) {
   if (result.isObject() && result.isMember("error")) {
     std::string detail = result["detail"].asString();
-    for (const Json::Value& fault : result["faults"]) {
-      detail += "\n  " + fault.asString();
+    for (const Json::Value& error : result["faults"]) {
+      detail += "\n  " + error.asString();
     }
     throw Error(ErrorCodeFromName(result["error"].asString()), detail);
   }
--- a/src/entry/entry_control.cc
+++ b/src/entry/entry_control.cc
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-// Longer than a controller holds a long poll.
+// Longer than a controller keeps a long poll pending.
 constexpr milliseconds kSyncTimeout{350};
 constexpr milliseconds kRetryDelay{20};
 
@@ -85,7 +85,7 @@
   report.m_shutting_down = m_shutting_down;
   const HttpRequest http_request = BuildClusterRequest(
       "/sync", m_settings.m_cluster_secret, EncodeMessage(report));
-  const TimePoint sent = Clock::now();
+  const TimePoint sent_at = Clock::now();
   SyncResponse response;
   try {
     const HttpResponse http_response =
@@ -102,7 +102,7 @@
     reporter.m_finder.OnNotController(response.m_controller, Clock::now());
     return false;
   }
-  thread.Apply(report, response, sent);
+  thread.Apply(report, response, sent_at);
   if (response.m_access) {
     ApplyAccessView(*response.m_access);
   }
--- a/src/entry/token_client.cc
+++ b/src/entry/token_client.cc
@@ -86,10 +86,10 @@
 }
 
 void TokenClient::RequestTokens() {
-  const TimePoint sent = Clock::now();
+  const TimePoint sent_at = Clock::now();
   TokenRequest request;
   request.m_dispatcher = m_identity;
-  request.m_demands = m_budget.BuildDemands(sent);
+  request.m_demands = m_budget.BuildDemands(sent_at);
   const HttpRequest http_request =
       BuildClusterRequest("/tokens", m_cluster_secret, EncodeMessage(request));
   TokenResponse response;
@@ -107,7 +107,7 @@
     BackOffIfAllTried();
     return;
   }
-  m_budget.OnGrants(response, sent);
+  m_budget.OnGrants(response, sent_at);
   double missing = 0;
   for (const TokenDemand& demand : request.m_demands) {
     missing += demand.m_requested;
--- a/src/entry/traffic_thread.cc
+++ b/src/entry/traffic_thread.cc
@@ -131,12 +131,12 @@
 
   void Apply(const SyncRequest& report,
              const SyncResponse& response,
-             TimePoint sent) {
+             TimePoint sent_at) {
     const Now now = ReadClocks();
     m_system.OnReportAcknowledged(report);
     if (report.m_cell == kAccessCell) {
-      ApplyAccess(response, sent, now);
-    } else if (m_system.Apply(report.m_cell, response, sent, now)) {
+      ApplyAccess(response, sent_at, now);
+    } else if (m_system.Apply(report.m_cell, response, sent_at, now)) {
       m_dispatcher.RejectUnsendable();
       m_dispatcher.DispatchAllWaiting();
       // New routes are acknowledged immediately, because a partition move may
@@ -231,12 +231,12 @@
   }
 
   void ApplyAccess(const SyncResponse& response,
-                   TimePoint sent,
+                   TimePoint sent_at,
                    const Now& now) {
     const bool older = response.m_control_epoch < m_access_epoch ||
                        response.m_config_version < m_access_version;
     if (response.m_status != SyncStatus::kOk || older ||
-        now.m_steady >= sent + response.m_authority_ttl) {
+        now.m_steady >= sent_at + response.m_authority_ttl) {
       return;
     }
     if (response.m_access) {
@@ -249,7 +249,7 @@
     m_access_epoch = response.m_control_epoch;
     m_access_version = response.m_config_version;
     m_access.m_fresh_until = std::max(
-        m_access.m_fresh_until, sent + m_owner.m_settings.m_access_lifetime);
+        m_access.m_fresh_until, sent_at + m_owner.m_settings.m_access_lifetime);
   }
 
   void TickLoop() {
@@ -264,7 +264,7 @@
   // Updates the traffic state; runs once per tick. Requests do not wait for it.
   void Tick(const Now& now) {
     const bool drained = m_system.Expire(now);  // 1. Remove expired rows.
-    m_dispatcher.RejectUnsendable();            // 2. Apply lapsed leases.
+    m_dispatcher.RejectUnsendable();            // 2. Apply lease expiry.
     m_dispatcher.DispatchAllWaiting();          // 3. Use free slots.
     LogStaleAccess(now);                        // 4. Check API key data.
     if (drained) {                              // 5. Report the drain.
@@ -365,8 +365,8 @@
 
 void TrafficThread::Apply(const SyncRequest& report,
                           const SyncResponse& response,
-                          TimePoint sent) {
-  m_mailbox.Call([&] { m_core->Apply(report, response, sent); });
+                          TimePoint sent_at) {
+  m_mailbox.Call([&] { m_core->Apply(report, response, sent_at); });
 }
 
 void TrafficThread::OnReportLost(const SyncRequest& report) {
--- a/src/entry/traffic_thread.h
+++ b/src/entry/traffic_thread.h
@@ -39,10 +39,10 @@
   /// Builds this thread's report for a cell.
   SyncRequest BuildReport(const std::string& cell);
 
-  /// Applies the response to a report that was sent at `sent`.
+  /// Applies the response to a report that was sent at `sent_at`.
   void Apply(const SyncRequest& report,
              const SyncResponse& response,
-             TimePoint sent);
+             TimePoint sent_at);
 
   /// Records that a report got no usable response.
   void OnReportLost(const SyncRequest& report);
--- a/src/traffic/concurrency_limit.cc
+++ b/src/traffic/concurrency_limit.cc
@@ -47,9 +47,9 @@
          ToSeconds(latency) > m_baseline_seconds * ratio;
 }
 
-void RampLimit::OnResponse(const std::string& instance, Duration latency) {
-  if (m_incarnation != instance) {
-    m_incarnation = instance;
+void RampLimit::OnResponse(const std::string& incarnation, Duration latency) {
+  if (m_incarnation != incarnation) {
+    m_incarnation = incarnation;
     BecomeCold();
   }
   const double ratio =
@@ -87,7 +87,7 @@
 }
 
 // A broken connection can mean a restart, and a restarted server is cold before
-// its first response can show a new instance id.
+// its first response can show a new incarnation.
 void RampLimit::OnConnectionLost() {
   BecomeCold();
 }
--- a/src/traffic/concurrency_limit.h
+++ b/src/traffic/concurrency_limit.h
@@ -18,8 +18,8 @@
   /// least 1.
   virtual uint32_t Limit(uint32_t slots) const = 0;
 
-  /// Records a response. `instance` identifies the server's current process.
-  virtual void OnResponse(const std::string& instance, Duration latency) = 0;
+  /// Records a response. `incarnation` identifies the server's current process.
+  virtual void OnResponse(const std::string& incarnation, Duration latency) = 0;
 
   /// Records that the server refused a request without executing it.
   virtual void OnRefusal() = 0;
@@ -72,7 +72,7 @@
   explicit RampLimit(const RampSettings& settings);
 
   uint32_t Limit(uint32_t slots) const override;
-  void OnResponse(const std::string& instance, Duration latency) override;
+  void OnResponse(const std::string& incarnation, Duration latency) override;
   void OnRefusal() override;
   void OnConnectionLost() override;
   bool IsCold() const override { return m_current_limit < kNoLimit; }
--- a/src/traffic/dedup_registry.cc
+++ b/src/traffic/dedup_registry.cc
@@ -5,8 +5,8 @@
 
 namespace foxtail {
 
-DedupRegistry::DedupRegistry(WallTime known_since, Duration retention)
-    : m_complete_since(known_since), m_id_retention(retention) {}
+DedupRegistry::DedupRegistry(WallTime complete_since, Duration id_retention)
+    : m_complete_since(complete_since), m_id_retention(id_retention) {}
 
 uint64_t DedupRegistry::HashOf(const RequestId& id) {
   return FastHash(id.m_text);
@@ -51,8 +51,8 @@
 
 void DedupRegistry::Import(const PartitionDedupState& state) {
   m_complete_since = WallTime(state.m_complete_since);
-  for (const AcceptedRequest& seen : state.m_accepted) {
-    m_issued_times.emplace(seen.m_hash, WallTime(seen.m_issued_at));
+  for (const AcceptedRequest& accepted : state.m_accepted) {
+    m_issued_times.emplace(accepted.m_hash, WallTime(accepted.m_issued_at));
   }
 }
 
--- a/src/traffic/dedup_registry.h
+++ b/src/traffic/dedup_registry.h
@@ -13,9 +13,9 @@
 /// duplicates for as long as the dispatcher keeps the partition.
 class DedupRegistry {
  public:
-  /// `known_since`: the registry contains every accepted id that was issued at
-  /// or after this time. `retention`: how long ids are kept.
-  DedupRegistry(WallTime known_since, Duration retention);
+  /// `complete_since`: the registry contains every accepted id that was issued
+  /// at or after this time. `id_retention`: how long ids are kept.
+  DedupRegistry(WallTime complete_since, Duration id_retention);
 
   /// Records an id. Throws `Error(kRequestDuplicate)` if the id is already
   /// recorded. Throws `Error(kRequestUnverifiable)` if the id is too old to
@@ -32,7 +32,7 @@
   PartitionDedupState Export(PartitionNumber number) const;
 
   /// Adds the ids of the partition's previous dispatcher and adopts its
-  /// `known_since`.
+  /// `complete_since`.
   void Import(const PartitionDedupState& state);
 
   /// Returns the hash under which an id is stored.
--- a/src/traffic/dispatch_system.cc
+++ b/src/traffic/dispatch_system.cc
@@ -83,7 +83,7 @@
   cell.m_control_epoch = response.m_control_epoch;
   cell.m_applied_number = response.m_number;
   cell.m_config_version = response.m_config_version;
-  DropLapsedRegistries(cell, now.m_steady);
+  DropUnleasedRegistries(cell, now.m_steady);
   if (response.m_routes) {
     ApplyRoutes(cell, response);
   }
@@ -92,9 +92,10 @@
   return true;
 }
 
-// Once a lease has lapsed, another dispatcher may have accepted requests, so
+// Once a lease has expired, another dispatcher may have accepted requests, so
 // the registry is no longer complete.
-void DispatchSystem::DropLapsedRegistries(TrafficCellRow& cell, TimePoint now) {
+void DispatchSystem::DropUnleasedRegistries(TrafficCellRow& cell,
+                                            TimePoint now) {
   std::erase_if(cell.m_dedup_registries, [&](const auto& entry) {
     return now >= m_tables.m_servers.Get(entry.second.m_server).m_lease_until;
   });
@@ -317,9 +318,10 @@
   }
   const auto state = cell->m_dedup_states.find(query.m_partition);
   if (state != cell->m_dedup_states.end()) {
-    std::erase_if(state->second.m_accepted, [&](const AcceptedRequest& seen) {
-      return seen.m_hash == DedupRegistry::HashOf(query.m_id);
-    });
+    std::erase_if(state->second.m_accepted,
+                  [&](const AcceptedRequest& accepted) {
+                    return accepted.m_hash == DedupRegistry::HashOf(query.m_id);
+                  });
   }
 }
 
@@ -402,7 +404,7 @@
 bool DispatchSystem::End(const DispatchQuery& query,
                          InFlightId id,
                          SendOutcome outcome,
-                         const std::string& server_instance,
+                         const std::string& server_incarnation,
                          Duration latency,
                          TimePoint now) {
   InFlightRow& row = m_tables.m_in_flight.Get(id);
@@ -414,7 +416,7 @@
   switch (outcome) {
     case SendOutcome::kResponded:
       ++server.m_responses;
-      server.m_limit->OnResponse(server_instance, latency);
+      server.m_limit->OnResponse(server_incarnation, latency);
       if (solo) {
         RecordCleared(row);
       }
@@ -497,8 +499,8 @@
     }
   });
   m_tables.m_cells.ForEach([&](auto, TrafficCellRow& cell) {
-    for (auto& [number, ids] : cell.m_dedup_registries) {
-      ids.m_registry.Expire(now.m_wall);
+    for (auto& [number, dedup] : cell.m_dedup_registries) {
+      dedup.m_registry.Expire(now.m_wall);
     }
   });
   return drained;
--- a/src/traffic/dispatch_system.h
+++ b/src/traffic/dispatch_system.h
@@ -132,7 +132,7 @@
   bool End(const DispatchQuery& query,
            InFlightId in_flight,
            SendOutcome outcome,
-           const std::string& server_instance,
+           const std::string& server_incarnation,
            Duration latency,
            TimePoint now);
 
@@ -167,7 +167,7 @@
                              const SyncResponse& response,
                              const Now& now);
   uint32_t SlotsOf(const DispatchServerRow& server) const;
-  void DropLapsedRegistries(TrafficCellRow& cell, TimePoint now);
+  void DropUnleasedRegistries(TrafficCellRow& cell, TimePoint now);
   void RecordCrash(const InFlightRow& row, bool solo);
   void RecordCleared(const InFlightRow& row);
   bool IsDraining(const InFlightRow& row) const;
--- a/src/traffic/token_budget.cc
+++ b/src/traffic/token_budget.cc
@@ -27,20 +27,21 @@
   return sum;
 }
 
-// Takes the newest tokens first, because the oldest are used first. Tokens that
+// Removes up to `tokens` tokens from the stock and returns the number removed.
+// The newest are removed first, because the oldest are used first. Tokens that
 // the issuer already counts as used cannot be returned.
 double ReclaimTokens(TokenBudgetRow& row, double tokens) {
-  double taken = 0;
+  double reclaimed = 0;
   for (auto batch = row.m_batches.rbegin(); batch != row.m_batches.rend();
        ++batch) {
     if (batch->m_counted_as_spent) {
       continue;
     }
-    const double part = std::min(batch->m_tokens, tokens - taken);
+    const double part = std::min(batch->m_tokens, tokens - reclaimed);
     batch->m_tokens -= part;
-    taken += part;
+    reclaimed += part;
   }
-  return taken;
+  return reclaimed;
 }
 
 }  // namespace
