--- a/src/control/control_tables.h
+++ b/src/control/control_tables.h
@@ -120,8 +120,8 @@
   /// again.
   bool m_write_outcome_unknown = false;
 
-  /// The record does not reflect yet that rights of previous owners have ended.
-  /// The moves go on without waiting for this write.
+  /// The record still names previous owners whose rights have ended. The moves
+  /// continue without waiting for the write that removes these names.
   bool m_dirty = false;
   TimePoint m_next_store_call_at;
 };
@@ -164,6 +164,8 @@
 
   /// Number of the newest sync response under the present lease.
   uint64_t m_last_response_number = 0;
+
+  /// When this process last acquired the cell's lease.
   TimePoint m_taken_over_at;
 
   /// The previous controller took no action after this time.
@@ -187,7 +189,7 @@
   /// The server responds to probes.
   bool m_up = false;
 
-  /// At least one probe was answered or failed.
+  /// At least one probe has ended, with or without a response.
   bool m_probed = false;
   bool m_probe_in_flight = false;
   TimePoint m_next_probe_at;
@@ -210,7 +212,8 @@
   /// first response that grants the lease.
   TimePoint m_dispatch_lease_until;
 
-  /// A lost or unknown dispatcher may send requests until this time.
+  /// A dispatcher that this controller has lost, or that a predecessor
+  /// appointed, may send requests until this time.
   TimePoint m_may_send_until;
 
   /// A request from such a dispatcher may run until this time.
@@ -220,8 +223,8 @@
   std::set<PartitionNumber> m_possible_grants;
   bool m_possible_grants_known = false;
 
-  /// Epochs by partition of the last confirmed grant, and of the grant sent
-  /// last.
+  /// Epochs by partition of the last grant that the server confirmed, and of
+  /// the last grant sent.
   std::map<PartitionNumber, uint64_t> m_confirmed_grants;
   std::map<PartitionNumber, uint64_t> m_pending_grants;
   uint64_t m_last_grant_number = 0;
--- a/src/control/partition_moves.h
+++ b/src/control/partition_moves.h
@@ -5,8 +5,8 @@
 namespace foxtail {
 
 /// Replaces the partition rows of a cell with those of its recorded assignment,
-/// and discards what is known of its dispatchers and grants from an earlier
-/// lease.
+/// and discards the state of its dispatchers and grants that dates from an
+/// earlier lease.
 void LoadPartitions(ControlTables& tables,
                     CellId cell_id,
                     CellRow& cell,
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -91,7 +91,7 @@
         !m_system.MaySend(*waiting->m_query, waiting->m_server, now)) {
       waiting->m_rejected = true;
       waiting->m_wakeup.Notify();
-      // Removed from the queue here, so that the request is not given a slot
+      // The request is removed from the queue here, so that it receives no slot
       // before its fiber runs.
       m_system.Abandon(*waiting->m_query, waiting->m_server, ticket);
     }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -77,7 +77,11 @@
       m_reporters;
   int m_running_fibers = 0;
   uint64_t m_config_version = 0;
+
+  /// Reports state that this entry is shutting down.
   bool m_shutting_down = false;
+
+  /// The report loops end.
   bool m_stopping = false;
 };
 
